--- /dev/null
+++ b/internal/protocol/bench_test.go
@@ -0,0 +1,50 @@
+package protocol
+
+import (
+	"testing"
+
+	"github.com/tidwall/redcon"
+
+	"laurelring/choice"
+)
+
+const benchRequest = "*4\r\n$8\r\nAPI.READ\r\n$7\r\ncourt-7\r\n$6\r\nreq-12\r\n$13\r\nc=look,d=1500\r\n"
+
+// BenchmarkRequest finds, parses and decodes one request of a client.
+func BenchmarkRequest(b *testing.B) {
+	ops := map[string]*choice.OpType{"API.READ look": {}}
+	buffer, commands := NewBuffer(CommandMost), Commands{}
+	b.ReportAllocs()
+	for range b.N {
+		buffer.Add(copy(buffer.Room(), benchRequest))
+		size, _, err := commands.Next(buffer)
+		if err != nil || size == 0 {
+			b.Fatal(size, err)
+		}
+		cmd, err := redcon.Parse(append([]byte(nil), buffer.Bytes()[:size]...))
+		if err != nil {
+			b.Fatal(err)
+		}
+		buffer.Drop(size)
+		if _, _, _, _, _, err := Decode(cmd.Args, ops); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkResponse reads one response of an endpoint.
+func BenchmarkResponse(b *testing.B) {
+	const text = "*3\r\n$5\r\nvalue\r\n$-1\r\n$15\r\nutilization=0.4\r\n"
+	buffer, reply := NewBuffer(ReplyMost), Reply{}
+	b.ReportAllocs()
+	for range b.N {
+		buffer.Add(copy(buffer.Room(), text))
+		_, _, load, done, err := reply.Next(buffer)
+		if err != nil || !done {
+			b.Fatal(done, err)
+		}
+		if _, ok := Load(load, "utilization"); !ok {
+			b.Fatal("no load")
+		}
+	}
+}
--- /dev/null
+++ b/internal/routing/bench_test.go
@@ -0,0 +1,67 @@
+package routing
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"laurelring/choice"
+	"laurelring/internal/protocol"
+)
+
+// answered is a delivery that ends by itself.
+type answered struct{}
+
+func (answered) GiveUp() (reached, ended bool) { return true, true }
+func (answered) Withhold() bool                { return false }
+func (answered) ConnectionAge() time.Duration  { return time.Second }
+
+type benchClient struct{ n *int }
+
+func (c benchClient) Acked([]byte) { *c.n++ }
+func (c benchClient) Nacked(int64) {}
+func (c benchClient) Failed()      {}
+
+// BenchmarkRequest has one request go through the router: accepted, sent, answered.
+func BenchmarkRequest(b *testing.B) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
+	f, err := protocol.ReadSettings([]byte(settings))
+	if err != nil {
+		b.Fatal(err)
+	}
+	g, ops, _ := f.Gateway(1)
+	w := &outside{dice: rand.New(rand.NewPCG(1, 1)), now: 1_000_000 * ms}
+	served := 0
+	var ended func(choice.Outcome, []byte, []byte)
+	r := New(g, "utilization", func() int64 { return w.now }, Outside{
+		Send: func(_ string, _ time.Time, _ func(int64) []byte, tell func(choice.Outcome, []byte, []byte)) Delivery {
+			ended = tell
+			return answered{}
+		},
+		Drop: func(string) {}, Post: func(int, []byte) {}, Vote: func(choice.Vote) {}, Watch: func() {}})
+	w.r = r
+	r.News(1, 2, choice.Released, 1, 0)
+	for i := range 20 {
+		w.members = append(w.members, member{id: fmt.Sprint("s-", i), phase: "up", build: 1})
+	}
+	w.list(true, w.members...)
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		w.now += ms
+		r.Command(ops[0], 7, fmt.Sprint(i), 1000*ms, func(int64) []byte { return nil }, benchClient{&served})
+		r.turn()
+		w.now += 4 * ms
+		if ended != nil {
+			ended(choice.Acked, []byte("value"), []byte("utilization=0.4"))
+			ended = nil
+			r.turn()
+		}
+	}
+	if served < b.N*9/10 {
+		b.Fatalf("%d of %d served", served, b.N)
+	}
+}
--- /dev/null
+++ b/internal/routing/recorded_test.go
@@ -0,0 +1,410 @@
+package routing
+
+import (
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"laurelring/choice"
+	"laurelring/internal/chance"
+	"laurelring/internal/membership"
+	"laurelring/internal/protocol"
+)
+
+// This file holds the router as it is: seeded histories of events go in, and the digest of its calls to the outside, in
+// their order, is compared with the recorded one.
+
+const (
+	recordedHistories = 120
+	recordedSteps     = 2200
+	recordedFile      = "testdata/recorded.txt"
+	recordedRouters   = 3
+)
+
+var record = flag.Bool("record", false, "write the digests of the recorded histories anew")
+
+// TestRecordedHistories plays every recorded history and compares the calls with the recording.
+func TestRecordedHistories(t *testing.T) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	digests := make([]string, recordedHistories)
+	var group sync.WaitGroup
+	limit := make(chan struct{}, 8)
+	for i := range digests {
+		group.Go(func() {
+			limit <- struct{}{}
+			defer func() { <-limit }()
+			h := newHistory(t, uint64(i))
+			h.play()
+			digests[i] = fmt.Sprintf("%d %d %x", i, h.calls, h.digest.Sum(nil)[:16])
+		})
+	}
+	group.Wait()
+	if *record {
+		if err := os.WriteFile(recordedFile, []byte(strings.Join(digests, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(recordedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSpace(string(text)), "\n")
+	if len(want) != len(digests) {
+		t.Fatalf("%d histories are recorded, %d were played", len(want), len(digests))
+	}
+	differing := 0
+	for i, digest := range digests {
+		if digest != want[i] {
+			if differing++; differing <= 5 {
+				t.Errorf("history %d: %s, recorded %s", i, digest, want[i])
+			}
+		}
+	}
+	if differing > 0 {
+		t.Errorf("%d of %d histories differ from the recording", differing, len(want))
+	}
+}
+
+// history is some routers that send one another datagrams, with all that they reach.
+type history struct {
+	t        *testing.T
+	dice     *rand.Rand
+	now      int64
+	routers  []*recordedRouter
+	members  []member
+	revision int
+	build    int
+	stage    int
+	digest   hash.Hash
+	calls    int
+	commands int
+	posted   []datagram
+}
+
+type datagram struct {
+	from, to int
+	at       int64
+	text     []byte
+}
+
+// recordedRouter is one router with what it has out.
+type recordedRouter struct {
+	*Router
+	h       *history
+	number  int
+	ops     []*choice.OpType
+	out     []*recordedDelivery
+	clients []*recordedClient
+	drops   []string // of this turn: their order is free
+	watches bool
+}
+
+type recordedDelivery struct {
+	r       *recordedRouter
+	name    string
+	reached bool
+	ended   bool
+	over    bool
+	openAt  int64
+	tell    func(how choice.Outcome, value, load []byte)
+}
+
+func (d *recordedDelivery) GiveUp() (reached, ended bool) {
+	d.r.note("give up %s %t %t", d.name, d.reached, d.ended)
+	d.over = true
+	return d.reached, d.ended
+}
+
+func (d *recordedDelivery) Withhold() bool {
+	withheld := !d.ended && !d.over && !d.reached
+	d.over = d.over || withheld
+	if withheld {
+		d.r.note("withhold %s", d.name)
+	}
+	return withheld
+}
+
+func (d *recordedDelivery) ConnectionAge() time.Duration {
+	return time.Duration(d.r.h.now - d.openAt)
+}
+
+type recordedClient struct {
+	r    *recordedRouter
+	name string
+}
+
+func (c *recordedClient) Acked(value []byte) { c.r.note("acked %s %q", c.name, value) }
+func (c *recordedClient) Nacked(after int64) { c.r.note("nacked %s %d", c.name, after) }
+func (c *recordedClient) Failed()            { c.r.note("failed %s", c.name) }
+
+// note records a call to the outside.
+func (r *recordedRouter) note(form string, about ...any) {
+	r.h.calls++
+	fmt.Fprintf(r.h.digest, "%d %d ", r.h.now, r.number)
+	fmt.Fprintf(r.h.digest, form+"\n", about...)
+}
+
+func newHistory(t *testing.T, seed uint64) *history {
+	h := &history{t: t, dice: rand.New(rand.NewPCG(seed, 0x4157)), now: 1_000_000 * ms, digest: sha256.New(),
+		build: 1, stage: 2, revision: 1}
+	for i := range 5 + h.dice.IntN(8) {
+		h.members = append(h.members, member{id: fmt.Sprint("s-", i), phase: "up", build: 1})
+	}
+	mode := pickOne(h.dice, "ask", "push")
+	for number := range recordedRouters {
+		h.routers = append(h.routers, h.newRouter(seed, number, mode))
+	}
+	return h
+}
+
+func pickOne[T any](dice *rand.Rand, some ...T) T { return some[dice.IntN(len(some))] }
+
+func (h *history) newRouter(seed uint64, number int, mode string) *recordedRouter {
+	text := strings.NewReplacer(`"rank":0`, fmt.Sprintf(`"rank":%d`, number),
+		`"registry_mode":"ask"`, fmt.Sprintf(`"registry_mode":%q`, mode)).Replace(settings)
+	f, err := protocol.ReadSettings([]byte(text))
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	gateway, ops, _ := f.Gateway(seed*10 + uint64(number))
+	busy, _ := f.Busy()
+	if f.Err() != nil {
+		h.t.Fatal(f.Err())
+	}
+	r := &recordedRouter{h: h, number: number, ops: ops}
+	r.Router = New(gateway, busy, func() int64 { return h.now }, Outside{
+		Send: r.send,
+		Drop: func(address string) { r.drops = append(r.drops, address) },
+		Post: func(to int, text []byte) {
+			r.note("post %d %x", to, text)
+			h.posted = append(h.posted, datagram{number, to, h.now + int64(5+h.dice.IntN(60))*ms, text})
+		},
+		Vote: func(v choice.Vote) {
+			r.note("vote %d %d %d", v.Build, v.Stage, v.Verdict)
+			r.Voted(pickOne(h.dice, choice.Acked, choice.Acked, choice.Acked, choice.Unsent, choice.TimedOut))
+		},
+		Watch: func() {
+			r.note("watch")
+			r.watches = true
+		},
+		Build: func(build int) { r.note("build %d", build) },
+	})
+	if h.dice.IntN(2) == 0 {
+		gateway.Guard()
+		for build := range 20 {
+			gateway.ToldVouched(build, build != 3)
+		}
+	}
+	gateway.LeaseList(h.now)
+	if h.dice.IntN(4) > 0 {
+		r.Share(membership.NewExchange(number, recordedRouters, 1, chance.New(seed+uint64(number)).Below, h.now))
+	}
+	r.News(1, 2, choice.Released, 1, 0)
+	h.list(r, true, true, false, h.members...)
+	return r
+}
+
+// list tells one router what discovery answers.
+func (h *history) list(r *recordedRouter, whole, cached, anew bool, members ...member) {
+	var all []string
+	for _, m := range members {
+		all = append(all, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,`+
+			`"size":4,"up_since_ms":%d,"build":%d}`, m.id, m.at(), m.phase, m.started/ms, m.build))
+	}
+	text := fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, h.revision, whole, strings.Join(all, ","))
+	list, err := protocol.ReadList([]byte(text), []string{"a", "b"}, []string{"m"})
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	waiting, done := len(r.events), make(chan error, 1)
+	go func() {
+		_, err := r.Listed(list, cached, anew)
+		done <- err
+	}()
+	for len(r.events) == waiting {
+		runtime.Gosched()
+	}
+	r.act()
+	if err := <-done; err != nil {
+		r.note("older")
+	}
+}
+
+// act has the router take one turn.
+func (r *recordedRouter) act() {
+	wait := r.turn()
+	slices.Sort(r.drops)
+	for _, address := range r.drops {
+		r.note("drop %s", address)
+	}
+	r.drops = r.drops[:0]
+	r.note("wait %d", wait)
+}
+
+func (r *recordedRouter) send(address string, until time.Time, words func(int64) []byte,
+	tell func(choice.Outcome, []byte, []byte)) Delivery {
+	d := &recordedDelivery{r: r, name: fmt.Sprintf("%s@%s", words(0), address), reached: r.h.dice.IntN(10) > 0,
+		openAt: r.h.now - int64(r.h.dice.IntN(4000))*ms, tell: tell}
+	r.note("send %s", d.name)
+	r.out = append(r.out, d)
+	return d
+}
+
+func (r *recordedRouter) command() {
+	r.h.commands++
+	name := fmt.Sprint(r.h.commands)
+	c := &recordedClient{r, name}
+	r.clients = append(r.clients, c)
+	r.Command(pickOne(r.h.dice, r.ops...), uint64(r.h.dice.IntN(30)), name, int64(100+r.h.dice.IntN(1900))*ms,
+		func(int64) []byte { return []byte(name) }, c)
+}
+
+// end tells the outcomes of some of what is out.
+func (r *recordedRouter) end() {
+	for _, d := range slices.Clone(r.out) {
+		if d.over || d.ended || r.h.dice.IntN(20) > 0 {
+			continue
+		}
+		d.ended = true
+		how := pickOne(r.h.dice, choice.Acked, choice.Acked, choice.Acked, choice.Acked, choice.Acked, choice.Acked,
+			choice.Errored, choice.Rejected, choice.Unconnected, choice.Broken, choice.Unsent)
+		var value []byte
+		if how == choice.Acked && r.h.dice.IntN(30) > 0 {
+			value = []byte("value")
+		}
+		d.tell(how, value, fmt.Appendf(nil, "utilization=0.%d", r.h.dice.IntN(10)))
+	}
+	r.out = slices.DeleteFunc(r.out, func(d *recordedDelivery) bool { return d.over || d.ended })
+}
+
+// play is the history: what happens is drawn, and each router takes its turn.
+func (h *history) play() {
+	for range recordedSteps {
+		h.now += int64(h.dice.IntN(12)) * ms
+		if h.dice.IntN(400) == 0 {
+			h.now += int64(h.dice.IntN(900)) * ms
+		}
+		h.happen()
+		for _, r := range h.routers {
+			for range h.dice.IntN(2) + h.dice.IntN(2) {
+				r.command()
+			}
+			r.end()
+			r.act()
+		}
+		h.deliver()
+	}
+	for _, r := range h.routers {
+		r.Ending(300 * ms)
+	}
+	for range 200 {
+		h.now += 5 * ms
+		for _, r := range h.routers {
+			r.act()
+		}
+	}
+}
+
+// deliver brings the datagrams whose time has come.
+func (h *history) deliver() {
+	var later []datagram
+	for _, d := range h.posted {
+		if d.at > h.now {
+			later = append(later, d)
+			continue
+		}
+		for _, r := range h.routers {
+			if r.number != d.from && (d.to < 0 || d.to == r.number) && h.dice.IntN(15) > 0 {
+				r.Heard(d.from, d.text)
+			}
+		}
+	}
+	h.posted = later
+}
+
+// happen draws one thing that happens to all, or to one router.
+func (h *history) happen() {
+	r := pickOne(h.dice, h.routers...)
+	switch h.dice.IntN(60) {
+	case 0, 1:
+		h.change()
+	case 2:
+		if h.stage == 2 {
+			h.build, h.stage = h.build+1, 0
+			m := member{id: fmt.Sprint("s-", len(h.members)), phase: "up", build: h.build, started: h.now}
+			h.members = append(h.members, m)
+			h.tellAll(m)
+		} else if h.dice.IntN(4) == 0 {
+			h.stage++
+		}
+		for _, one := range h.routers {
+			phase := choice.OnTrial
+			if h.stage == 2 {
+				phase = pickOne(h.dice, choice.Released, choice.Released, choice.TakenOff, choice.GoingBack)
+			}
+			one.News(h.build, h.stage, phase, []float64{0.1, 0.5, 1}[h.stage], 0)
+		}
+	case 3:
+		r.ListFailed(pickOne[error](h.dice, io.EOF, &protocol.CallError{Begun: true, Cause: errors.New("cut")}))
+	case 4:
+		r.ListBegun()
+	case 5:
+		if h.dice.IntN(4) == 0 {
+			r.ListMoved()
+		}
+	case 6:
+		r.Heard(h.dice.IntN(5)-1, []byte{byte(h.dice.IntN(5)), 9, 9})
+	case 7, 8:
+		if n := len(r.clients); n > 0 {
+			r.Gone(r.clients[n-1-h.dice.IntN(min(n, 10))])
+		}
+	case 9:
+		for range h.dice.IntN(40) {
+			r.command()
+		}
+	case 10:
+		r.Vouched(h.dice.IntN(h.build+1), h.dice.IntN(3) > 0)
+	}
+	for _, one := range h.routers {
+		if one.watches && h.dice.IntN(30) == 0 {
+			one.watches = false
+			h.list(one, h.dice.IntN(2) == 0, false, h.dice.IntN(3) == 0, h.members...)
+		}
+	}
+}
+
+// change has a member drain, go, restart or come.
+func (h *history) change() {
+	m := &h.members[h.dice.IntN(len(h.members))]
+	m.phase = pickOne(h.dice, "up", "up", "up", "draining", "removed")
+	if m.phase == "up" {
+		m.started = h.now
+		if h.dice.IntN(2) == 0 {
+			m.build = h.build
+		}
+	}
+	h.tellAll(*m)
+}
+
+// tellAll tells some routers of a change; the others find out later.
+func (h *history) tellAll(m member) {
+	h.revision++
+	for _, r := range h.routers {
+		if h.dice.IntN(4) > 0 {
+			h.list(r, false, false, false, m)
+		}
+	}
+}
