--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -17,6 +17,7 @@
 
 	"laurelring/decision"
 	"laurelring/decision/gossip"
+	"laurelring/decision/monotonic"
 	"laurelring/internal/protocol"
 	"laurelring/internal/routing"
 	"laurelring/internal/seededrand"
@@ -70,19 +71,24 @@
 	if err != nil {
 		return err
 	}
-	gateway, ops, _ := f.Gateway(seed)
-	named := map[string]*decision.OpType{}
-	for i, one := range f.Asked() {
-		named[one] = ops[i]
-	}
+	config := f.BalancerConfig(seed)
+	asked := f.Asked()
 	zones, models := f.Zones(), f.Models()
 	busy, _ := f.Busy()
 	mustAsk := f.MustAsk()
-	connectWithin, idleFor := time.Duration(f.ConnectWithin()), time.Duration(f.IdleFor())
-	voteWithin, askWithin, longest := time.Duration(f.VoteWithin()), time.Duration(f.AskWithin()), f.Longest()
+	connectWithin, idleFor := f.ConnectWithin(), f.IdleFor()
+	voteWithin, askWithin, longest := f.VoteWithin(), f.AskWithin(), f.Longest()
 	if f.Err() != nil {
 		return f.Err()
 	}
+	gateway, err := decision.New(config)
+	if err != nil {
+		return err
+	}
+	named := map[string]*decision.OpType{}
+	for i, one := range asked {
+		named[one] = gateway.OpTypes()[i]
+	}
 	startList, err := protocol.ReadList(known, zones, models)
 	if err != nil {
 		return fmt.Errorf(`field "known": %w`, err)
@@ -100,7 +106,7 @@
 	defer stop()
 
 	begun := time.Now()
-	clock := func() int64 { return begun.UnixNano() + int64(time.Since(begun)) }
+	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
 	budget := transport.NewBudget(descriptors)
 	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
 	instances := transport.NewInstances(budget, complaints, connectWithin, idleFor/2)
@@ -130,16 +136,16 @@
 		defer client.Close()
 		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.Busy() }, func(build int, so bool) { r.Vouched(build, so) })
 		if operator.Builds != "" {
-			gateway.Guard()
+			gateway.RequireVerifiedBuilds()
 			build = agent.Build
 		}
 	}
 	var discovery *transport.Discovery
 	var desk *transport.Desk
 	r = routing.New(gateway, busy, clock, routing.Outside{
-		Send: func(address string, until time.Time, words func(int64) []byte,
-			ended func(decision.Outcome, []byte, []byte)) routing.Delivery {
-			return instances.Send(address, until, words, ended)
+		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
+			ended func(protocol.Response)) routing.Delivery {
+			return instances.Send(address, until, encode, ended)
 		},
 		Drop:  instances.Drop,
 		Post:  post,
@@ -154,13 +160,15 @@
 			log.Warn("the platform is lost", "address", address, "cause", why)
 		}
 	}, lots)
-	gateway.LeaseList(clock())
+	gateway.StartLease(clock())
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
 		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
 	}
-	if err := protocol.News(news, r.News); err != nil {
+	status, err := protocol.ParseRolloutStatus(news)
+	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
+	r.News(status)
 	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
 		list, err := protocol.ReadList(text, zones, models)
 		if err != nil {
@@ -174,8 +182,8 @@
 	}
 	defer ln.Close()
 	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
-		func(op *decision.OpType, key uint64, id string, left int64, again func(int64) []byte, to *transport.Answer) {
-			r.Command(op, key, id, left, again, to)
+		func(request protocol.Request, to *transport.Answer) {
+			r.Command(request, to)
 		}, func(to *transport.Answer) { r.Gone(to) })
 	go r.Run(ctx)
 	if _, err := r.Listed(startList, true, false); err != nil {
@@ -222,8 +230,8 @@
 			}
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
-			answered := min(time.Duration(longest), killedAfter) - killMargin
-			r.Ending(int64(servesOn + answered))
+			answered := min(longest, killedAfter) - killMargin
+			r.Ending(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
 				front.Drain()
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -16,11 +16,14 @@
 	"hash/fnv"
 	"math"
 	"slices"
+	"time"
+
+	"laurelring/decision/monotonic"
 )
 
 const (
-	ms = int64(1e6)
-	s  = int64(1e9)
+	ms = time.Duration(1e6)
+	s  = time.Duration(1e9)
 
 	queryPeers = 3        // peers that are asked at once
 	queryFirst = 100 * ms // at random: how soon after a failure the first query goes out
@@ -54,17 +57,17 @@
 
 // Query asks a peer what it knows of the list.
 type Query struct {
-	Revision int64 // that the asker knows all drains and removals of
-	Age      int64 // ns since that was known to be current
+	Revision int64         // that the asker knows all drains and removals of
+	Age      time.Duration // ns since that was known to be current
 }
 
 // View is what a gateway knows of the list from discovery, or a part of it.
 type View struct {
 	Revision int64
-	Age      int64    // ns since discovery confirmed it
-	Part     int      // from 0 on
-	Parts    int      // 0 where only the revision is confirmed, for askers that hold it
-	Ready    []uint32 // the incarnations that are ready, those of this part
+	Age      time.Duration // ns since discovery confirmed it
+	Part     int           // from 0 on
+	Parts    int           // 0 where only the revision is confirmed, for askers that hold it
+	Ready    []uint32      // the incarnations that are ready, those of this part
 }
 
 // Reply is due to be sent: the list's revision as confirmed so long ago, to one gateway or to all, with the ready
@@ -72,7 +75,7 @@
 type Reply struct {
 	To       int
 	Revision int64
-	Age      int64
+	Age      time.Duration
 	Whole    bool
 }
 
@@ -87,12 +90,12 @@
 // an older revision has drained or gone.
 type Learned struct {
 	Revision int64
-	At       int64 // the moment for which it holds
+	At       monotonic.Time // the moment for which it holds
 	Ready    map[uint32]bool
 }
 
 // Incarnation numbers an instance as it was started with a build: after a restart, or with another build, it is another.
-func Incarnation(id string, startedAt int64, build int) uint32 {
+func Incarnation(id string, startedAt monotonic.Time, build int) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, uint64(startedAt)), uint64(build)))
@@ -104,41 +107,41 @@
 	rank, peers int
 	draw        func(below int64) int64
 
-	following   bool  // a watch of discovery stands
-	confirmedAt int64 // when discovery last answered
-	held        int64 // the revision it then told
-	known       int64 // the revision of which all drains and removals are known, from discovery or peers
-	currentAt   int64 // when that was last known to be current
-
-	queryAt int64
-	source  int          // a gateway of which a newer revision was heard that could not be taken in, or none
-	askers  []asker      // the latest, each once, askersMany at most
-	single  []request    // replies that wait to go to one gateway
-	all     *request     // the one that waits to go to all, or nil
-	heard   confirmation // the latest reply that was heard
-	queries float64      // heard lately, fading
-	heardAt int64        // when they were last counted
+	following   bool           // a watch of discovery stands
+	confirmedAt monotonic.Time // when discovery last answered
+	held        int64          // the revision it then told
+	known       int64          // the revision of which all drains and removals are known, from discovery or peers
+	currentAt   monotonic.Time // when that was last known to be current
+
+	queryAt monotonic.Time
+	source  int            // a gateway of which a newer revision was heard that could not be taken in, or none
+	askers  []asker        // the latest, each once, askersMany at most
+	single  []request      // replies that wait to go to one gateway
+	all     *request       // the one that waits to go to all, or nil
+	heard   confirmation   // the latest reply that was heard
+	queries float64        // heard lately, fading
+	heardAt monotonic.Time // when they were last counted
 	parts   assembly
 }
 
 // asker is a gateway that has queried, and when it last did.
 type asker struct {
 	rank int
-	at   int64
+	at   monotonic.Time
 }
 
 // request is a query, or several, that waits for its reply.
 type request struct {
 	to      int
-	whole   bool  // an older revision is held: the ready incarnations are asked for
-	askedAt int64 // the latest query, of those for the ready incarnations if there are any
-	dueAt   int64
+	whole   bool           // an older revision is held: the ready incarnations are asked for
+	askedAt monotonic.Time // the latest query, of those for the ready incarnations if there are any
+	dueAt   monotonic.Time
 }
 
 // confirmation is a reply that was heard, or sent to all.
 type confirmation struct {
 	revision int64
-	heardAt  int64
+	heardAt  monotonic.Time
 	whole    bool // it had the ready incarnations
 }
 
@@ -156,7 +159,7 @@
 
 // NewExchange takes the gateway's number, how many gateways there are, the revision of the list it starts with, a
 // source of seeded chance, and the present moment.
-func NewExchange(rank, peers int, revision int64, draw func(below int64) int64, now int64) *Exchange {
+func NewExchange(rank, peers int, revision int64, draw func(below int64) int64, now monotonic.Time) *Exchange {
 	e := &Exchange{rank: rank, peers: peers, draw: draw, held: revision, known: revision, currentAt: now - startAge,
 		source: none}
 	e.Unconfirmed(now)
@@ -165,7 +168,7 @@
 
 // Confirmed tells that discovery has answered, with the revision that is now held. It tells whether the list is so
 // current: not while a peer's view is of a newer revision, unless discovery counts anew.
-func (e *Exchange) Confirmed(revision int64, anew bool, now int64) bool {
+func (e *Exchange) Confirmed(revision int64, anew bool, now monotonic.Time) bool {
 	e.following, e.confirmedAt, e.held = true, now, revision
 	if revision < e.known && !anew && now-e.currentAt < ahead {
 		return false
@@ -175,7 +178,7 @@
 }
 
 // Unconfirmed tells that no watch of discovery stands: a call has failed, or discovery has moved.
-func (e *Exchange) Unconfirmed(now int64) {
+func (e *Exchange) Unconfirmed(now monotonic.Time) {
 	if e.following || e.queryAt == 0 {
 		e.queryAt = now + e.jitter(queryFirst)
 	}
@@ -183,10 +186,12 @@
 }
 
 // fresh tells whether discovery has confirmed the list lately enough to tell others.
-func (e *Exchange) fresh(now int64) bool { return e.following && now-e.confirmedAt <= freshFor }
+func (e *Exchange) fresh(now monotonic.Time) bool {
+	return e.following && now-e.confirmedAt <= freshFor
+}
 
 // Queried takes a peer's query in.
-func (e *Exchange) Queried(from int, q Query, now int64) {
+func (e *Exchange) Queried(from int, q Query, now monotonic.Time) {
 	e.queries = e.faded(now) + 1
 	e.heardAt = now
 	newer := e.held > q.Revision || e.held == q.Revision && now-e.confirmedAt+newerBy < q.Age
@@ -202,7 +207,7 @@
 }
 
 // manyAsk tells whether this query is one of several gateways' lately.
-func (e *Exchange) manyAsk(from int, now int64) bool {
+func (e *Exchange) manyAsk(from int, now monotonic.Time) bool {
 	e.askers = slices.DeleteFunc(e.askers, func(one asker) bool { return one.rank == from || now-one.at >= askersSpan })
 	if len(e.askers) >= askersMany {
 		e.askers = e.askers[1:]
@@ -212,7 +217,7 @@
 }
 
 // replyToAll has a reply go to all gateways, for this query as well.
-func (e *Exchange) replyToAll(whole bool, now int64) {
+func (e *Exchange) replyToAll(whole bool, now monotonic.Time) {
 	if e.all == nil {
 		e.all = &request{to: ToAll, dueAt: now + e.jitter(replyWithin)}
 	}
@@ -223,7 +228,7 @@
 
 // Crowd estimates which share of the gateways goes without discovery at present, from 0 to 1: each of them queries a few
 // peers drawn at random, again and again, so that the queries heard tell how many there are.
-func (e *Exchange) Crowd(now int64) float64 {
+func (e *Exchange) Crowd(now monotonic.Time) float64 {
 	if e.peers < 2 {
 		return 0
 	}
@@ -231,12 +236,12 @@
 	return min(1, e.faded(now)/(each*float64(crowdOver)))
 }
 
-func (e *Exchange) faded(now int64) float64 {
+func (e *Exchange) faded(now monotonic.Time) float64 {
 	return e.queries * math.Exp(-float64(now-e.heardAt)/float64(crowdOver))
 }
 
 // Told takes a peer's view in. It gives what was learned, or nil.
-func (e *Exchange) Told(from int, v View, now int64) *Learned {
+func (e *Exchange) Told(from int, v View, now monotonic.Time) *Learned {
 	at := now - max(v.Age, 0)
 	if v.Revision >= e.held {
 		e.heard = confirmation{v.Revision, now, v.Parts > 0}
@@ -261,7 +266,7 @@
 }
 
 // Next gives what is to be sent now, and how long it may take until it is asked again.
-func (e *Exchange) Next(now int64) (Due, int64) {
+func (e *Exchange) Next(now monotonic.Time) (Due, time.Duration) {
 	due, wait := Due{}, 10*s
 	if !e.fresh(now) {
 		if now >= e.queryAt {
@@ -284,7 +289,7 @@
 }
 
 // replies gives the replies whose time has come.
-func (e *Exchange) replies(now int64) []Reply {
+func (e *Exchange) replies(now monotonic.Time) []Reply {
 	var due []Reply
 	if e.all != nil && now >= e.all.dueAt {
 		if reply, ok := e.reply(e.all, now); ok {
@@ -306,7 +311,7 @@
 }
 
 // reply answers a request, unless a reply as good was heard or there is nothing fresh to tell any more.
-func (e *Exchange) reply(one *request, now int64) (Reply, bool) {
+func (e *Exchange) reply(one *request, now monotonic.Time) (Reply, bool) {
 	if !e.fresh(now) || e.heard.serves(one, e.held) {
 		return Reply{}, false
 	}
@@ -330,4 +335,6 @@
 	return drawn
 }
 
-func (e *Exchange) jitter(below int64) int64 { return e.draw(below/ms) * ms }
+func (e *Exchange) jitter(below time.Duration) time.Duration {
+	return time.Duration(e.draw(int64(below/ms))) * ms
+}
--- /dev/null
+++ b/decision/request.go
@@ -0,0 +1,173 @@
+package decision
+
+import (
+	"time"
+
+	"laurelring/decision/monotonic"
+)
+
+const (
+	initialMeanLatencyShare = 0.25 // of the service target: taken for a mean time before there is one
+	overQuotaPriority       = 0.01 // of its priority: what a request beyond its tenant's quota keeps
+	lateValueThreshold      = 0.5  // of a command's importance: a late answer worth less gives way to commands that wait
+)
+
+// Arrival is a request that a client has sent.
+type Arrival struct {
+	OpType    *OpType
+	Tenant    *Tenant       // nil where the deployment has none
+	Key       uint64        // requests with the same key are related; 0 for none
+	Work      time.Duration // expected; 0 where it is not known
+	Remaining time.Duration // until the client gives up
+}
+
+// Admit takes a request in: it gets its deadline, its latency objective and its priority. Route decides what becomes of it.
+func (lb *Balancer) Admit(arrival Arrival, now monotonic.Time) *Request {
+	op := arrival.OpType
+	request := &Request{opType: op, key: arrival.Key, deadline: now + arrival.Remaining}
+	objective := op.latencyObjective + time.Duration(op.objectiveStretch*float64(arrival.Work))
+	request.latencyDeadline = min(now+objective, request.deadline)
+	request.priority = op.priorityWeight / float64(max(op.latencyObjective, time.Millisecond))
+	if arrival.Tenant != nil && lb.overQuota(arrival.Tenant, now) {
+		request.priority *= overQuotaPriority
+	}
+	canary := &lb.canary
+	canary.arrivals.add(now, canary.window)
+	op.arrivals.add(now, canary.window)
+	lb.recordArrival(now)
+	lb.slowStart.arrivals.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	if canary.stickyKeys && arrival.Key != 0 {
+		lb.countKey(arrival.Key)
+	}
+	return request
+}
+
+// bound is the moment after which an answer is not worth its work: the service target where a late one
+// earns nothing, or little while others wait for room; else the client's patience.
+func (lb *Balancer) worthwhileUntil(request *Request) time.Duration {
+	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && len(lb.queue) > 0 {
+		return request.latencyDeadline
+	}
+	return request.deadline
+}
+
+// expected is the time a delivery is expected to take; a first one is not refused for an inflated mean.
+func (lb *Balancer) expectedLatency(request *Request) float64 {
+	if len(request.Attempts) == 0 {
+		return min(request.opType.meanLatency*1.3, float64(request.opType.latencyObjective)*0.85)
+	}
+	return request.opType.meanLatency
+}
+
+// giveUp gives the final answer. A nack says that trying again is harmless: only where no delivery can have
+// run, or where a repeat does no harm.
+func (lb *Balancer) refuse(request *Request, why RejectReason) Decision {
+	lb.dequeue(request)
+	request.Completed = true
+	for _, attempt := range request.Attempts {
+		if attempt.mayHaveExecuted && !request.opType.safeToRepeat() {
+			return Decision{Action: ActionFail, Reason: why}
+		}
+	}
+	after := time.Duration(request.opType.meanLatency)
+	if len(lb.queue) > 0 {
+		after = lb.attemptLimits.maxRetryAfter // others wait already
+	}
+	return Decision{Action: ActionReject, Reason: why, RetryAfter: min(lb.attemptLimits.maxRetryAfter, after)}
+}
+
+// repeats tells whether a repeat does no harm at any instance, for a deduplicated command within its
+// window.
+func (op *OpType) safeToRepeat() bool {
+	return op.idempotency == Idempotent || op.idempotency == IdempotentByKey && op.dedupScope == ScopeAll
+}
+
+// harmless: no effect twice.
+func (lb *Balancer) repeatAllowed(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
+	if request.opType.idempotency == Idempotent {
+		return true
+	}
+	for _, attempt := range request.Attempts {
+		if !attempt.mayHaveExecuted {
+			continue
+		}
+		if request.opType.idempotency == NonIdempotent || now+lb.tick >= attempt.sentAt+request.opType.dedupWindow {
+			return false
+		}
+		if request.opType.dedupScope == ScopeZone && attempt.zone != endpoint.zone || request.opType.dedupScope == ScopeCell && attempt.cell != endpoint.cell {
+			return false
+		}
+	}
+	return true
+}
+
+// ToldFlowing tells that an answer has begun to stream: it belongs to the client from here on.
+func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
+	attempt.Endpoint.lastResponseAt = now
+	attempt.Request.Completed = true
+}
+
+// ToldGone tells that the client has left.
+func (lb *Balancer) ClientGone(request *Request) {
+	request.Completed = true
+	lb.dequeue(request)
+}
+
+// Hasten brings the last moment for a command's answer forward: the gateway ends before its client gives up.
+func (lb *Balancer) ShortenDeadline(request *Request, lastAnswer monotonic.Time) {
+	request.deadline = min(request.deadline, lastAnswer)
+	request.latencyDeadline = min(request.latencyDeadline, lastAnswer)
+}
+
+// Delivery lives from its sending to its outcome.
+type Attempt struct {
+	Number   int
+	Request  *Request
+	Endpoint *Endpoint
+	Done     bool
+
+	sentAt          monotonic.Time
+	build           int // what the instance was when it was sent
+	zone            int
+	cell            int
+	overdueCounted  bool // overdue, and booked as lost
+	endpointSilent  bool // and its instance held to be silent
+	canceled        bool // off, as its instance is silent
+	mayHaveExecuted bool // it is out, or its outcome does not prove that it never ran
+	duringWarmUp    bool // the instance was in its first seconds
+}
+
+// Command lives from its arrival to its final answer.
+type Request struct {
+	Attempts  []*Attempt
+	InFlight  int  // deliveries still out
+	Completed bool // its final answer is given
+
+	opType          *OpType
+	key             uint64
+	latencyDeadline monotonic.Time // the moment by which its answer is worth the whole
+	deadline        monotonic.Time // the moment at which the client gives up
+	priority        float64
+	queued          bool
+}
+
+// OpType is one type of command, with what its answers have taught.
+type OpType struct {
+	index            int
+	latencyObjective time.Duration
+	objectiveStretch float64
+	clientTimeout    time.Duration
+	priorityWeight   float64
+	lateValueShare   float64
+	idempotency      Idempotency
+	dedupScope       DeduplicationScope
+	dedupWindow      time.Duration
+
+	meanLatency float64       // ns; smoothed time of answers
+	arrivals    slidingWindow // commands taken, where exposure is counted by op type
+}
+
+// Model is one kind of machine, with what the earlier builds' answers have taught.
+type MachineType struct {
+	relativeLatency float64 // smoothed time of its answers against the op types' means
+}
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -7,6 +7,7 @@
 	"math"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/tidwall/redcon"
 
@@ -113,14 +114,21 @@
 	return end + 1, false, nil
 }
 
-// Decode reads a client's command: its op type, found by the words that ask for it, its key as a number, its
-// id, how long the client waits, and how the command is worded for an instance that is told how long the
-// gateway will wait. What no instance could use is an error.
-func Decode(args [][]byte, ops map[string]*decision.OpType) (op *decision.OpType, key uint64, id string, left int64,
-	again func(within int64) []byte, err error) {
-	no := func(why string) (*decision.OpType, uint64, string, int64, func(int64) []byte, error) {
-		return nil, 0, "", 0, nil, errors.New(why)
-	}
+// Request is a request as a client sent it.
+type Request struct {
+	OpType    *decision.OpType
+	Key       uint64 // 0 for none
+	ID        string
+	Remaining time.Duration // until the client gives up
+	// Encode words the request for an endpoint that is told how long the gateway waits for the answer.
+	Encode func(wait time.Duration) []byte
+}
+
+// ParseRequest reads a client's request. Op types are found by the words that ask for them. What no endpoint could use is an
+// error.
+func ParseRequest(args [][]byte, ops map[string]*decision.OpType) (Request, error) {
+	var request Request
+	no := func(why string) (Request, error) { return Request{}, errors.New(why) }
 	most := 4
 	if string(args[0]) == "API.WRITE" {
 		most = 5
@@ -128,7 +136,7 @@
 	if len(args) != most {
 		return no("wrong number of words")
 	}
-	if id = string(args[2]); id == "" || len(id) > idMost {
+	if request.ID = string(args[2]); request.ID == "" || len(request.ID) > idMost {
 		return no("no id")
 	}
 	var before, after strings.Builder // what stands around the time in the list of names and values
@@ -140,8 +148,8 @@
 		name, value, _ := strings.Cut(one, "=")
 		switch name {
 		case "c":
-			had := op
-			if op = ops[asks(string(args[0]), value)]; op == nil || had != nil {
+			had := request.OpType
+			if request.OpType = ops[asks(string(args[0]), value)]; request.OpType == nil || had != nil {
 				return no("unknown op type")
 			}
 		case "d":
@@ -149,23 +157,23 @@
 			if err != nil || !(ms > 0) || strings.Trim(value, "0123456789.") != "" || into == &after {
 				return no("d is no time")
 			}
-			left = asNs(ms)
+			request.Remaining = asNs(ms)
 			into.WriteString("d=")
 			into = &after
 			continue
 		}
 		into.WriteString(one)
 	}
-	if op == nil || into == &before {
+	if request.OpType == nil || into == &before {
 		return no("c or d is missing")
 	}
 	if len(args[1]) > 0 {
 		h := fnv.New64a()
 		h.Write(args[1])
-		key = max(h.Sum64(), 1)
+		request.Key = max(h.Sum64(), 1)
 	}
-	again = func(within int64) []byte {
-		list := before.String() + strconv.FormatInt(max(1, within/1e6), 10) + after.String()
+	request.Encode = func(wait time.Duration) []byte {
+		list := before.String() + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + after.String()
 		b := make([]byte, 0, 64+len(args[1])+len(args[2])+len(list)+len(args[most-1]))
 		b = redcon.AppendArray(b, most)
 		b = redcon.AppendBulk(b, args[0])
@@ -177,7 +185,7 @@
 		}
 		return b
 	}
-	return op, key, id, left, again, nil
+	return request, nil
 }
 
 // BulkHead and End stand around a value.
@@ -187,7 +195,7 @@
 var End = []byte("\r\n")
 
 // Refused words a refusal, with the time to come back if there is one.
-func Refused(after int64) string {
+func Refused(after time.Duration) string {
 	if after <= 0 {
 		return "BUSY"
 	}
--- a/internal/protocol/facts.go
+++ b/internal/protocol/facts.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"time"
 
 	"github.com/tidwall/gjson"
 
@@ -52,7 +53,7 @@
 
 func (f *Facts) num(path string) float64       { return f.get(f.root, path, gjson.Number).Num }
 func (f *Facts) count(path string) int         { return int(f.num(path)) }
-func (f *Facts) ns(path string) int64          { return asNs(f.num(path)) }
+func (f *Facts) ns(path string) time.Duration  { return asNs(f.num(path)) }
 func (f *Facts) is(path string) bool           { return f.get(f.root, path, gjson.True).Bool() }
 func (f *Facts) word(path string) string       { return f.get(f.root, path, gjson.String).Str }
 func (f *Facts) list(path string) gjson.Result { return f.get(f.root, path, gjson.JSON) }
@@ -73,73 +74,121 @@
 	return all
 }
 
-func asNs(ms float64) int64 { return int64(math.Round(max(-4e12, min(4e12, ms)) * 1e6)) }
+func asNs(ms float64) time.Duration {
+	return time.Duration(math.Round(max(-4e12, min(4e12, ms)) * 1e6))
+}
 
-func kindOf(word string) (decision.Kind, bool) {
+func kindOf(word string) (decision.Idempotency, bool) {
 	switch word {
 	case "repeatable":
-		return decision.Redeliverable, true
+		return decision.Idempotent, true
 	case "by_key":
-		return decision.Deduplicated, true
+		return decision.IdempotentByKey, true
 	}
-	return decision.AtMostOnce, word == "once"
+	return decision.NonIdempotent, word == "once"
 }
 
-func groupOf(word string) (decision.Group, bool) {
+func groupOf(word string) (decision.DeduplicationScope, bool) {
 	switch word {
 	case "zone":
-		return decision.GroupZone, true
+		return decision.ScopeZone, true
 	case "cell":
-		return decision.GroupCell, true
+		return decision.ScopeCell, true
 	}
-	return decision.GroupAll, word == "" || word == "all"
+	return decision.ScopeAll, word == "" || word == "all"
 }
 
-func controlOf(word string) (decision.Control, bool) {
+func controlOf(word string) (decision.PromotionMode, bool) {
 	switch word {
 	case "any":
-		return decision.ControlAny, true
+		return decision.PromoteByAnyVote, true
 	case "share":
-		return decision.ControlShare, true
+		return decision.PromoteByQuorum, true
 	}
-	return decision.ControlClock, word == "timer"
+	return decision.PromoteByTimer, word == "timer"
 }
 
-// Gateway starts a gateway from its settings, with its op types and tenants in their order.
-func (f *Facts) Gateway(seed uint64) (*decision.Gateway, []*decision.OpType, []*decision.Tenant) {
-	var ops []*decision.OpType
-	var tenants []*decision.Tenant
-	g := decision.New(seed, f.count("rank"), f.count("balancers"), f.count("locality"), f.ns("period_ms"))
+// BalancerConfig reads what a balancer is made from, with its op types and tenants in their order. Faults are told by Err.
+func (f *Facts) BalancerConfig(seed uint64) decision.Config {
+	config := decision.Config{
+		Seed:     seed,
+		Rank:     f.count("rank"),
+		Gateways: f.count("balancers"),
+		Zone:     f.count("locality"),
+		Tick:     f.ns("period_ms"),
+	}
 	for i, lane := range f.list("lanes").Array() {
-		kind, ok := kindOf(f.get(lane, "repeat", gjson.String).Str)
-		group, in := groupOf(lane.Get("dedup_scope").Str)
-		if !ok || !in {
-			f.fault(fmt.Sprintf("lanes.%d", i), "has an unknown kind or group")
-		}
-		ops = append(ops, g.OpType(
-			asNs(f.get(lane, "aim_ms", gjson.Number).Num), lane.Get("aim_stretch").Num,
-			asNs(f.get(lane, "give_up_ms", gjson.Number).Num), f.get(lane, "gain", gjson.Number).Num,
-			lane.Get("late_worth").Num, kind, group, asNs(lane.Get("window_ms").Num)))
+		config.OpTypes = append(config.OpTypes, f.opType(i, lane))
 	}
 	for _, org := range f.list("orgs").Array() {
-		tenants = append(tenants, g.Tenant(f.get(org, "quota_rps", gjson.Number).Num))
-	}
-	g.Bound(f.count("limits.max_attempts"), f.is("limits.may_cancel"), f.is("limits.retry_after"),
-		f.ns("limits.max_retry_after_ms"))
-	g.Price(f.num("prices.cross_zone"), f.num("family_info.lag_fee"), f.num("family_info.damage_price"))
-	g.Chill(f.num("invariants.cold_from"), f.ns("invariants.cold_ms"), f.num("invariants.fall_multiple"),
-		f.ns("invariants.fall_ms"))
-	g.Follow(f.MustAsk())
-	g.Expose(f.ns("family_info.window_ms"), f.num("family_info.allowance"), f.word("family_info.per") == "class",
-		f.count("family_info.closed_stages"), f.is("family_info.one_way"), f.nums("family_info.exposure_caps"))
-	control, ok := controlOf(f.word("family_info.decided_by"))
+		config.Tenants = append(config.Tenants, decision.TenantConfig{QuotaRate: f.get(org, "quota_rps", gjson.Number).Num})
+	}
+	config.Attempts = f.attempts()
+	config.Costs = decision.CostConfig{
+		CrossZone: f.num("prices.cross_zone"),
+		Lag:       f.num("family_info.lag_fee"),
+		Harm:      f.num("family_info.damage_price"),
+	}
+	config.SlowStart = decision.SlowStartConfig{
+		InitialCapacity:  f.num("invariants.cold_from"),
+		WarmUp:           f.ns("invariants.cold_ms"),
+		OverloadMultiple: f.num("invariants.fall_multiple"),
+		OverloadSpan:     f.ns("invariants.fall_ms"),
+	}
+	config.PollDiscovery = f.MustAsk()
+	config.Exposure = decision.ExposureConfig{
+		Window:       f.ns("family_info.window_ms"),
+		Allowance:    f.num("family_info.allowance"),
+		PerOpType:    f.word("family_info.per") == "class",
+		ClosedStages: f.count("family_info.closed_stages"),
+		StickyKeys:   f.is("family_info.one_way"),
+		StageCaps:    f.nums("family_info.exposure_caps"),
+	}
+	config.Rollout = f.rollout()
+	return config
+}
+
+func (f *Facts) opType(index int, lane gjson.Result) decision.OpTypeConfig {
+	idempotency, known := kindOf(f.get(lane, "repeat", gjson.String).Str)
+	scope, in := groupOf(lane.Get("dedup_scope").Str)
+	if !known || !in {
+		f.fault(fmt.Sprintf("lanes.%d", index), "has an unknown kind or group")
+	}
+	return decision.OpTypeConfig{
+		LatencyObjective: asNs(f.get(lane, "aim_ms", gjson.Number).Num),
+		ObjectiveStretch: lane.Get("aim_stretch").Num,
+		ClientTimeout:    asNs(f.get(lane, "give_up_ms", gjson.Number).Num),
+		PriorityWeight:   f.get(lane, "gain", gjson.Number).Num,
+		LateValueShare:   lane.Get("late_worth").Num,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      asNs(lane.Get("window_ms").Num),
+	}
+}
+
+func (f *Facts) attempts() decision.AttemptConfig {
+	config := decision.AttemptConfig{Max: f.count("limits.max_attempts"), MayCancel: f.is("limits.may_cancel")}
+	honoured, longest := f.is("limits.retry_after"), f.ns("limits.max_retry_after_ms")
+	if honoured {
+		config.MaxRetryAfter = longest
+	}
+	return config
+}
+
+func (f *Facts) rollout() decision.RolloutConfig {
+	mode, ok := controlOf(f.word("family_info.decided_by"))
 	if !ok {
 		f.fault("family_info.decided_by", "names no known way")
 	}
-	g.Judge(control, f.count("family_info.ayes_needed"), f.count("family_info.votes_to_revert"),
-		f.nums("family_info.steps"), f.ns("family_info.vote_ttl_ms"), f.ns("family_info.api_timeout_ms"),
-		f.is("limits.peer_messages"))
-	return g, ops, tenants
+	return decision.RolloutConfig{
+		Mode:          mode,
+		PromoteVotes:  f.count("family_info.ayes_needed"),
+		RollbackVotes: f.count("family_info.votes_to_revert"),
+		StageShares:   f.nums("family_info.steps"),
+		VoteTTL:       f.ns("family_info.vote_ttl_ms"),
+		AnswerTimeout: f.ns("family_info.api_timeout_ms"),
+		PeerMessages:  f.is("limits.peer_messages"),
+	}
 }
 
 // Asked gives the words by which clients ask for the op types, in their order: those that may be repeated are
@@ -148,7 +197,7 @@
 	var all []string
 	for _, lane := range f.list("lanes").Array() {
 		command := "API.WRITE"
-		if kind, _ := kindOf(lane.Get("repeat").Str); kind == decision.Redeliverable {
+		if kind, _ := kindOf(lane.Get("repeat").Str); kind == decision.Idempotent {
 			command = "API.READ"
 		}
 		all = append(all, asks(command, f.get(lane, "name", gjson.String).Str))
@@ -174,8 +223,8 @@
 func (f *Facts) MustAsk() bool { return f.word("registry_mode") == "ask" }
 
 // Longest is the longest time that a client waits.
-func (f *Facts) Longest() int64 {
-	longest := int64(0)
+func (f *Facts) Longest() time.Duration {
+	longest := time.Duration(0)
 	for _, lane := range f.list("lanes").Array() {
 		longest = max(longest, asNs(lane.Get("give_up_ms").Num))
 	}
@@ -183,16 +232,16 @@
 }
 
 // ConnectWithin is how long a connection to an endpoint may take to come up.
-func (f *Facts) ConnectWithin() int64 { return f.ns("limits.connect_timeout_ms") }
+func (f *Facts) ConnectWithin() time.Duration { return f.ns("limits.connect_timeout_ms") }
 
 // IdleFor is how long an idle connection to an instance may stand.
-func (f *Facts) IdleFor() int64 { return f.ns("limits.idle_close_ms") }
+func (f *Facts) IdleFor() time.Duration { return f.ns("limits.idle_close_ms") }
 
 // VoteWithin is how long the answer to a vote is waited for.
-func (f *Facts) VoteWithin() int64 { return f.ns("family_info.api_timeout_ms") }
+func (f *Facts) VoteWithin() time.Duration { return f.ns("family_info.api_timeout_ms") }
 
 // AskWithin is how long the list may go unasked before its changes count as told.
-func (f *Facts) AskWithin() int64 { return f.ns("invariants.ask_within_ms") }
+func (f *Facts) AskWithin() time.Duration { return f.ns("invariants.ask_within_ms") }
 
 // Busy names the field of a load report that tells how busy an instance is, and its position among the
 // fields; the position is -1 where there is none.
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/tidwall/gjson"
+
+	"laurelring/decision/monotonic"
 )
 
 // ErrOlder says that an answer to a watch is older than the list that is held.
@@ -41,7 +43,7 @@
 	Model       int
 	Cell        int
 	Size        float64
-	StartedAt   int64 // ns of Unix time; 0 for long ago
+	StartedAt   monotonic.Time // ns of Unix time; 0 for long ago
 }
 
 // List is an answer of discovery: all members, or those that have changed.
--- a/internal/protocol/reply.go
+++ b/internal/protocol/reply.go
@@ -35,38 +35,44 @@
 // span is a part of the buffer that holds a word; a null has no start.
 type span struct{ from, to int }
 
-// Next reads on in what the buffer holds. Once a reply is whole it gives how the delivery ended, the value
-// and the load report, both copied, and drops the reply from the buffer. An error is damage: nothing that
-// follows can be trusted.
-func (r *Reply) Next(b *Buffer) (how decision.Outcome, value, load []byte, done bool, err error) {
+// Response is how an attempt ended, with what an endpoint sent.
+type Response struct {
+	Outcome    decision.Outcome
+	Value      []byte // nil where none came
+	LoadReport []byte // empty where none came
+}
+
+// Next reads on in what the buffer holds. Once a response is complete it is given, copied, and dropped from the buffer. An
+// error is damage: nothing that follows can be trusted.
+func (r *Reply) Next(b *Buffer) (response Response, done bool, err error) {
 	for {
 		data := b.Bytes()
 		line, size, err := lineOf(data[r.at:])
 		if err != nil || size == 0 {
-			return 0, nil, nil, false, err
+			return Response{}, false, err
 		}
 		switch {
 		case r.part == 0 && line[0] == '-':
 			how, load, err := refusal(string(line[1:]))
 			r.end(b, size)
-			return how, nil, load, err == nil, err
+			return Response{Outcome: how, LoadReport: load}, err == nil, err
 		case r.part == 0 && string(line) == "*3":
 			r.part, r.at = 1, size
 			continue
 		case r.part == 0 || r.part == 2 && string(line) != "$-1":
-			return 0, nil, nil, false, errDamaged
+			return Response{}, false, errDamaged
 		}
 		n, ok := sizeOf(line)
 		if !ok || n > ValueMost || r.part == 3 && n > reportMost {
-			return 0, nil, nil, false, errDamaged
+			return Response{}, false, errDamaged
 		}
 		whole, word := size, span{}
 		if n >= 0 {
 			if whole = size + n + 2; len(data)-r.at < whole {
-				return 0, nil, nil, false, nil
+				return Response{}, false, nil
 			}
 			if data[r.at+whole-2] != '\r' || data[r.at+whole-1] != '\n' {
-				return 0, nil, nil, false, errDamaged
+				return Response{}, false, errDamaged
 			}
 			word = span{r.at + size, r.at + whole - 2}
 		}
@@ -75,22 +81,22 @@
 			r.value = word
 		case 3:
 			r.load = word
-			return r.done(b)
+			return r.done(b), true, nil
 		}
 		r.part++
 	}
 }
 
-// done gives a whole reply and drops it from the buffer.
-func (r *Reply) done(b *Buffer) (how decision.Outcome, value, load []byte, done bool, err error) {
+// done gives a complete response and drops it from the buffer. A null is no value.
+func (r *Reply) done(b *Buffer) Response {
 	data := b.Bytes()
-	load = bytes.Clone(data[r.load.from:r.load.to])
-	how = decision.Errored // a null is no value
+	response := Response{Outcome: decision.OutcomeError, LoadReport: bytes.Clone(data[r.load.from:r.load.to])}
 	if r.value.from > 0 {
-		how, value = decision.Acked, bytes.Clone(data[r.value.from:r.value.to])
+		response.Outcome = decision.OutcomeSuccess
+		response.Value = bytes.Clone(data[r.value.from:r.value.to])
 	}
 	r.end(b, 0)
-	return how, value, load, true, nil
+	return response
 }
 
 func (r *Reply) end(b *Buffer, more int) {
@@ -135,10 +141,10 @@
 // stand last. A line that begins otherwise is no instance's.
 func refusal(line string) (decision.Outcome, []byte, error) {
 	word, _, _ := strings.Cut(line, " ")
-	how := decision.Errored
+	how := decision.OutcomeError
 	switch word {
 	case "BUSY":
-		how = decision.Rejected
+		how = decision.OutcomeRejected
 	case "ERR", "SYNTAX", "NOPERM":
 	default:
 		return 0, nil, errDamaged
--- a/internal/protocol/views.go
+++ b/internal/protocol/views.go
@@ -60,7 +60,7 @@
 	return v, true
 }
 
-func revisionAndAge(text []byte) (revision, age int64, rest []byte, ok bool) {
+func revisionAndAge(text []byte) (revision int64, age time.Duration, rest []byte, ok bool) {
 	r, used := binary.Uvarint(text)
 	if used <= 0 || r > 1<<62 {
 		return 0, 0, nil, false
@@ -70,9 +70,9 @@
 	if used <= 0 || a > uint64(1<<62/time.Millisecond) {
 		return 0, 0, nil, false
 	}
-	return int64(r), int64(a) * int64(time.Millisecond), text[used:], true
+	return int64(r), time.Duration(a) * time.Millisecond, text[used:], true
 }
 
-func toMs(ns int64) uint64 {
-	return uint64(max(ns, 0)+int64(time.Millisecond)-1) / uint64(time.Millisecond)
+func toMs(ns time.Duration) uint64 {
+	return uint64(max(ns, 0)+time.Millisecond-1) / uint64(time.Millisecond)
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -8,15 +8,16 @@
 
 	"laurelring/decision"
 	"laurelring/decision/gossip"
+	"laurelring/decision/monotonic"
 	"laurelring/internal/protocol"
 )
 
 // instance is one that the list has named.
 type instance struct {
-	it     *decision.Instance
+	it     *decision.Endpoint
 	number uint32          // of its id, in messages between gateways
 	listed protocol.Member // as discovery last listed it
-	goneAt int64           // when it went; 0 while it is listed
+	goneAt monotonic.Time  // when it went; 0 while it is listed
 
 	down        int64 // the newest revision by which it drained or was gone
 	departed    bool  // a peer's view of a newer revision lacks it
@@ -34,10 +35,10 @@
 
 // lists is how the router takes in what discovery and peers tell of the list.
 type lists struct {
-	revision    int64 // of the list held
-	confirmedAt int64 // when discovery last confirmed it; 0 before it first has
-	failures    int   // calls that have failed since
-	trusted     bool  // the module goes by the list, for the log
+	revision    int64          // of the list held
+	confirmedAt monotonic.Time // when discovery last confirmed it; 0 before it first has
+	failures    int            // calls that have failed since
+	trusted     bool           // the module goes by the list, for the log
 	exchange    *gossip.Exchange
 	ahead       *peerView // nil where no peer's view is newer
 }
@@ -49,19 +50,19 @@
 // asked for anew, from no revision on, may be of an older one than held: discovery came back with what it had before.
 func (r *Router) Listed(list *protocol.List, cached, anew bool) (revision int64, err error) {
 	done := make(chan error, 1)
-	r.events <- func(now int64) { done <- r.takeList(list, cached, anew, now) }
+	r.events <- func(now monotonic.Time) { done <- r.takeList(list, cached, anew, now) }
 	return list.Revision, <-done
 }
 
 // takeList tells the module a list, unless it is older than the one held: that would undo drains that were told.
-func (r *Router) takeList(list *protocol.List, cached, anew bool, now int64) error {
+func (r *Router) takeList(list *protocol.List, cached, anew bool, now monotonic.Time) error {
 	if list.Revision < r.list.revision && !(anew && list.Whole) {
 		return protocol.ErrOlder
 	}
 	r.list.revision = list.Revision
 	current := cached || r.list.exchange == nil || r.list.exchange.Confirmed(list.Revision, anew, now)
 	caughtUp := current && r.dropView(anew)
-	named := map[*decision.Instance]bool{}
+	named := map[*decision.Endpoint]bool{}
 	for _, member := range list.Members {
 		i := r.instance(member.ID)
 		named[i.it] = true
@@ -73,7 +74,7 @@
 	if caughtUp {
 		r.recall(now)
 	}
-	r.gateway.ToldListEnd(cached, now)
+	r.gateway.CommitEndpointList(cached, now)
 	if !cached {
 		r.confirmed(current, now)
 	}
@@ -83,7 +84,7 @@
 }
 
 // takeMember tells the module one entry.
-func (r *Router) takeMember(i *instance, member protocol.Member, now int64) {
+func (r *Router) takeMember(i *instance, member protocol.Member, now monotonic.Time) {
 	if was := i.listed.Address; was != "" && was != member.Address || !member.Present {
 		r.outside.Drop(was)
 	}
@@ -107,14 +108,23 @@
 	r.tellInstance(i, now)
 }
 
-func (r *Router) tellInstance(i *instance, now int64) {
+func (r *Router) tellInstance(i *instance, now monotonic.Time) {
 	m := &i.listed
-	r.gateway.ToldInstance(i.it, i.ready(), m.Present, m.Build, m.Zone, m.Model, m.Cell, m.Size, m.StartedAt, now)
+	r.gateway.UpdateEndpoint(i.it, decision.EndpointStatus{
+		Ready:       i.ready(),
+		Present:     m.Present,
+		Build:       m.Build,
+		Zone:        m.Zone,
+		MachineType: m.Model,
+		Cell:        m.Cell,
+		Size:        m.Size,
+		StartedAt:   m.StartedAt,
+	}, now)
 }
 
 // takeOnly tells the module that no others than those named are listed.
-func (r *Router) takeOnly(named map[*decision.Instance]bool, now int64) {
-	r.gateway.ToldOnly(named, now)
+func (r *Router) takeOnly(named map[*decision.Endpoint]bool, now monotonic.Time) {
+	r.gateway.RetainEndpoints(named, now)
 	for _, i := range r.instances {
 		if !named[i.it] && i.goneAt == 0 {
 			i.goneAt, i.down = now, max(i.down, r.list.revision)
@@ -142,7 +152,7 @@
 }
 
 // recall tells the module again of instances that a peer's view lacked, as discovery now lists them.
-func (r *Router) recall(now int64) {
+func (r *Router) recall(now monotonic.Time) {
 	for _, i := range r.instances {
 		if !i.departed {
 			continue
@@ -159,7 +169,7 @@
 
 // confirmed notes that discovery has answered, and logs the end of a time in which it did not. The list is current unless
 // a peer's view is newer.
-func (r *Router) confirmed(current bool, now int64) {
+func (r *Router) confirmed(current bool, now monotonic.Time) {
 	l := &r.list
 	if l.failures > 0 {
 		slog.Info("the list is confirmed again", "revision", l.revision, "failures", l.failures,
@@ -167,12 +177,12 @@
 	}
 	l.confirmedAt, l.failures = now, 0
 	if current {
-		r.gateway.ToldListConfirmed(now)
+		r.gateway.EndpointListConfirmed(now)
 	}
 }
 
 // unconfirmed is how long ago discovery last confirmed the list; 0 if it never has.
-func (r *Router) unconfirmed(now int64) time.Duration {
+func (r *Router) unconfirmed(now monotonic.Time) time.Duration {
 	if r.list.confirmedAt == 0 {
 		return 0
 	}
@@ -182,31 +192,31 @@
 // ListFailed tells that the list could not be asked, or that its watch broke. An answer that began and did not come
 // whole may have told of drains.
 func (r *Router) ListFailed(err error) {
-	r.events <- func(now int64) {
+	r.events <- func(now monotonic.Time) {
 		l := &r.list
 		l.failures++
 		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failures,
 			"unconfirmed", r.unconfirmed(now))
 		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.Begun {
-			r.gateway.ToldListBroken(now)
+			r.gateway.DiscoveryResponseBroken(now)
 		}
 		if l.exchange != nil {
 			l.exchange.Unconfirmed(now)
-			r.gateway.ToldListCrowd(l.exchange.Crowd(now))
+			r.gateway.UnansweredShareEstimated(l.exchange.Crowd(now))
 		}
-		r.gateway.ToldListFailed(now)
+		r.gateway.DiscoveryFailed(now)
 	}
 }
 
 // ListBegun tells that an answer of discovery has begun to come.
 func (r *Router) ListBegun() {
-	r.events <- func(now int64) { r.gateway.ToldListBegun(now) }
+	r.events <- func(now monotonic.Time) { r.gateway.DiscoveryResponseStarted(now) }
 }
 
 // ListMoved tells that discovery is asked at another address from now on.
 func (r *Router) ListMoved() {
-	r.events <- func(now int64) {
-		r.gateway.ToldListMoved(now)
+	r.events <- func(now monotonic.Time) {
+		r.gateway.DiscoveryMoved(now)
 		if r.list.exchange != nil {
 			r.list.exchange.Unconfirmed(now)
 		}
@@ -214,7 +224,7 @@
 }
 
 // heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
-func (r *Router) heardOfList(from int, text []byte, now int64) bool {
+func (r *Router) heardOfList(from int, text []byte, now monotonic.Time) bool {
 	if query, ok := protocol.UnpackQuery(text); ok {
 		r.list.exchange.Queried(from, query, now)
 		return true
@@ -230,7 +240,7 @@
 }
 
 // learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) learn(learned *gossip.Learned, now int64) {
+func (r *Router) learn(learned *gossip.Learned, now monotonic.Time) {
 	if learned.Ready != nil {
 		r.list.ahead = &peerView{learned.Revision, learned.Ready}
 		departed := 0
@@ -248,11 +258,11 @@
 			"departed", departed)
 		r.withhold(now)
 	}
-	r.gateway.ToldListConfirmed(learned.At)
+	r.gateway.EndpointListConfirmed(learned.At)
 }
 
 // exchangeViews sends what is due between gateways about the list, and gives how long to wait.
-func (r *Router) exchangeViews(now int64) int64 {
+func (r *Router) exchangeViews(now monotonic.Time) time.Duration {
 	due, wait := r.list.exchange.Next(now)
 	for _, to := range due.Queried {
 		r.outside.Post(to, protocol.PackQuery(due.Query))
@@ -286,8 +296,8 @@
 }
 
 // logTrust tells when the list is no longer gone by, and when it is again.
-func (r *Router) logTrust(now int64) {
-	trusted := r.gateway.ListTrusted(now)
+func (r *Router) logTrust(now monotonic.Time) {
+	trusted := r.gateway.EndpointListTrusted(now)
 	if trusted == r.list.trusted {
 		return
 	}
@@ -304,16 +314,16 @@
 func (r *Router) instance(id string) *instance {
 	i := r.instances[id]
 	if i == nil {
-		i = &instance{it: &decision.Instance{}, number: numberOf(id), listed: protocol.Member{ID: id}}
+		i = &instance{it: &decision.Endpoint{}, number: numberOf(id), listed: protocol.Member{ID: id}}
 		r.instances[id], r.known[i.it], r.numbered[i.number] = i, i, i.it
 	}
 	return i
 }
 
 // forget lets go of instances that the list has not named for long.
-func (r *Router) forget(now int64) {
+func (r *Router) forget(now monotonic.Time) {
 	for id, i := range r.instances {
-		if i.goneAt > 0 && now-i.goneAt > int64(goneFor) {
+		if i.goneAt > 0 && now-i.goneAt > time.Duration(goneFor) {
 			delete(r.instances, id)
 			delete(r.known, i.it)
 			if r.numbered[i.number] == i.it {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -12,13 +12,14 @@
 	"time"
 
 	"laurelring/decision"
+	"laurelring/decision/monotonic"
 	"laurelring/internal/protocol"
 )
 
 // Client is the place of a command's final answer. None of its calls waits.
 type Client interface {
 	Acked(value []byte)
-	Nacked(after int64)
+	Nacked(after monotonic.Time)
 	Failed()
 }
 
@@ -34,8 +35,8 @@
 
 // Outside is what the router has done by others. None of its calls waits.
 type Outside struct {
-	Send func(address string, until time.Time, words func(within int64) []byte,
-		ended func(how decision.Outcome, value, load []byte)) Delivery
+	Send func(address string, until time.Time, encode func(wait time.Duration) []byte,
+		ended func(protocol.Response)) Delivery
 	Drop  func(address string)
 	Post  func(to int, text []byte) // to all gateways where the number is below 0
 	Vote  func(decision.Vote)
@@ -48,33 +49,33 @@
 	goneFor    = 60 * time.Second // an instance that the list no longer names is remembered so long
 	buildsMost = 64               // that are remembered
 
-	heldUpTold   = int64(100 * time.Millisecond) // later than this the module is told how late a turn comes
-	heldUpLogged = int64(500 * time.Millisecond)
+	heldUpTold   = time.Duration(100 * time.Millisecond) // later than this the module is told how late a turn comes
+	heldUpLogged = time.Duration(500 * time.Millisecond)
 )
 
 // Router keeps the commands in hand and the timers.
 type Router struct {
-	gateway *decision.Gateway
+	gateway *decision.Balancer
 	busy    string // the field of a load report that tells how busy an instance is
 	outside Outside
-	events  chan func(now int64)
+	events  chan func(now monotonic.Time)
 	done    chan struct{} // closed at the end
-	clock   func() int64
+	clock   func() monotonic.Time
 
-	commands  map[*decision.Command]*inHand
+	commands  map[*decision.Request]*inHand
 	ids       map[string]*inHand
 	clients   map[Client]*inHand
 	instances map[string]*instance
-	numbered  map[uint32]*decision.Instance
-	known     map[*decision.Instance]*instance
-	endsAt    int64        // when the gateway is ended for good; 0 while it is not to
-	builds    []int        // listed lately
-	waiting   atomic.Int64 // commands that are held
-	stands    [3]int       // the build, stage and phase last told
+	numbered  map[uint32]*decision.Endpoint
+	known     map[*decision.Endpoint]*instance
+	endsAt    monotonic.Time // when the gateway is ended for good; 0 while it is not to
+	builds    []int          // listed lately
+	waiting   atomic.Int64   // commands that are held
+	stands    [3]int         // the build, stage and phase last told
 	due       timers
 	order     int
-	lookedAt  int64 // when the clock was last looked at; 0 where turns are not Run's
-	turnDue   int64 // when the next turn is to come at the latest
+	lookedAt  monotonic.Time // when the clock was last looked at; 0 where turns are not Run's
+	turnDue   monotonic.Time // when the next turn is to come at the latest
 	trace     trace
 	list      lists
 }
@@ -82,29 +83,29 @@
 // inHand is a command until its final answer is given and nothing of it is out.
 type inHand struct {
 	id     string
-	cmd    *decision.Command
+	cmd    *decision.Request
 	client Client // nil once it is answered or gone
-	words  func(within int64) []byte
-	out    map[*decision.Delivery]*flight
+	words  func(within time.Duration) []byte
+	out    map[*decision.Attempt]*flight
 }
 
 // flight is a delivery that is out.
 type flight struct {
 	of     *inHand
-	dl     *decision.Delivery
+	dl     *decision.Attempt
 	on     Delivery
-	sentAt int64
-	until  int64
+	sentAt monotonic.Time
+	until  monotonic.Time
 	order  int // among those of one moment
 	at     int // in the timers
 }
 
 // New makes a router of a gateway; the clock gives whole nanoseconds and never goes back.
-func New(g *decision.Gateway, busy string, clock func() int64, outside Outside) *Router {
-	return &Router{gateway: g, busy: busy, outside: outside, clock: clock, events: make(chan func(int64), eventsMost), done: make(chan struct{}),
-		commands: map[*decision.Command]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
-		instances: map[string]*instance{}, numbered: map[uint32]*decision.Instance{},
-		known: map[*decision.Instance]*instance{}, trace: newTrace(), list: lists{trusted: true}}
+func New(g *decision.Balancer, busy string, clock func() monotonic.Time, outside Outside) *Router {
+	return &Router{gateway: g, busy: busy, outside: outside, clock: clock, events: make(chan func(time.Duration), eventsMost), done: make(chan struct{}),
+		commands: map[*decision.Request]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
+		instances: map[string]*instance{}, numbered: map[uint32]*decision.Endpoint{},
+		known: map[*decision.Endpoint]*instance{}, trace: newTrace(), list: lists{trusted: true}}
 }
 
 // Run tells, asks and obeys until the context ends.
@@ -129,7 +130,7 @@
 
 // look reads the clock, and notices if the process stood still since the last time, or other work kept the processor.
 // Every event is told with a look of its own: a standstill may come amid a turn as well as between two.
-func (r *Router) look() int64 {
+func (r *Router) look() time.Duration {
 	now := r.clock()
 	if r.lookedAt > 0 {
 		r.noticeHeldUp(now, now-max(r.lookedAt, r.turnDue))
@@ -139,13 +140,13 @@
 }
 
 // noticeHeldUp tells the module how much later than it was due the clock is looked at.
-func (r *Router) noticeHeldUp(now, late int64) {
+func (r *Router) noticeHeldUp(now monotonic.Time, late time.Duration) {
 	if late > heldUpTold {
 		if late > heldUpLogged {
 			slog.Warn("the gateway stood still", "for", time.Duration(late).Round(time.Millisecond))
 		}
-		r.gateway.ToldHeldUp(late, now)
-		if r.list.exchange != nil && !r.gateway.ListTrusted(now) {
+		r.gateway.ProcessStalled(late, now)
+		if r.list.exchange != nil && !r.gateway.EndpointListTrusted(now) {
 			r.list.exchange.Unconfirmed(now)
 		}
 	}
@@ -153,7 +154,7 @@
 
 // turn tells all that has come meanwhile, gives up what is out for too long, asks the module and obeys; it
 // gives how long to wait.
-func (r *Router) turn() int64 {
+func (r *Router) turn() time.Duration {
 	for more := true; more; {
 		select {
 		case event := <-r.events:
@@ -169,7 +170,7 @@
 		wait = min(wait, r.exchangeViews(now))
 	}
 	r.logTrust(now)
-	r.waiting.Store(int64(r.gateway.Waiting()))
+	r.waiting.Store(int64(r.gateway.QueueLength()))
 	if len(r.due) > 0 {
 		wait = min(wait, r.due[0].until-now)
 	}
@@ -178,31 +179,31 @@
 
 // Command tells of a command that a client sent. One by an id that another in hand bears is no command: it
 // would be taken for the other.
-func (r *Router) Command(op *decision.OpType, key uint64, id string, left int64, words func(within int64) []byte,
-	client Client) {
+func (r *Router) Command(request protocol.Request, client Client) {
 	came := r.clock() // what it waits here is the client's time too
-	r.events <- func(now int64) {
-		if r.ids[id] != nil {
+	r.events <- func(now monotonic.Time) {
+		if r.ids[request.ID] != nil {
 			client.Failed()
 			return
 		}
-		c := &inHand{id: id, client: client, words: words, out: map[*decision.Delivery]*flight{}}
-		if left -= now - came; r.endsAt > 0 {
+		c := &inHand{id: request.ID, client: client, words: request.Encode, out: map[*decision.Attempt]*flight{}}
+		left := request.Remaining - (now - came)
+		if r.endsAt > 0 {
 			left = min(left, r.endsAt-now)
 		}
-		c.cmd = r.gateway.Take(op, nil, key, 0, left, now)
-		r.commands[c.cmd], r.clients[client], r.ids[id] = c, c, c
-		r.trace.taken(id, left)
-		r.obey(c, r.gateway.Where(c.cmd, now), now)
+		c.cmd = r.gateway.Admit(decision.Arrival{OpType: request.OpType, Key: request.Key, Remaining: left}, now)
+		r.commands[c.cmd], r.clients[client], r.ids[request.ID] = c, c, c
+		r.trace.taken(request.ID, left)
+		r.obey(c, r.gateway.Route(c.cmd, now), now)
 	}
 }
 
 // Gone tells that a client has left before its answer.
 func (r *Router) Gone(client Client) {
-	r.events <- func(now int64) {
+	r.events <- func(now monotonic.Time) {
 		if c := r.clients[client]; c != nil {
 			r.trace.left(c.id)
-			r.gateway.ToldGone(c.cmd)
+			r.gateway.ClientGone(c.cmd)
 			r.withhold(now)
 			r.tidy(c)
 		}
@@ -210,11 +211,11 @@
 }
 
 // Ending tells that the gateway is ended for good after so long: by then every command has its final answer.
-func (r *Router) Ending(within int64) {
-	r.events <- func(now int64) {
+func (r *Router) Ending(within time.Duration) {
+	r.events <- func(now monotonic.Time) {
 		r.endsAt = now + within
 		for cmd := range r.commands { // each by itself: their order does not matter
-			r.gateway.Hasten(cmd, r.endsAt)
+			r.gateway.ShortenDeadline(cmd, r.endsAt)
 		}
 		for _, f := range r.due {
 			f.until = min(f.until, r.endsAt)
@@ -237,8 +238,8 @@
 // Vouched tells whether a build is what was signed.
 func (r *Router) Vouched(build int, so bool) {
 	select {
-	case r.events <- func(now int64) {
-		r.gateway.ToldVouched(build, so)
+	case r.events <- func(now monotonic.Time) {
+		r.gateway.BuildVerified(build, so)
 		r.withhold(now)
 	}:
 	case <-r.done: // whoever tells is waited for at the end
@@ -249,61 +250,61 @@
 func (r *Router) Busy() bool { return r.waiting.Load() > 0 }
 
 // News tells where the newest build stands.
-func (r *Router) News(build, stage int, phase decision.Phase, most float64, since int64) {
-	r.events <- func(now int64) {
-		if here := [3]int{build, stage, int(phase)}; here != r.stands {
-			slog.Info("news", "build", build, "stage", stage, "phase", phase, "cap", most)
+func (r *Router) News(status decision.RolloutStatus) {
+	r.events <- func(now monotonic.Time) {
+		if here := [3]int{status.Build, status.Stage, int(status.Phase)}; here != r.stands {
+			slog.Info("news", "build", status.Build, "stage", status.Stage, "phase", status.Phase, "cap", status.ExposureCap)
 			r.stands = here
 		}
-		r.gateway.ToldStage(build, stage, phase, most, since, now)
+		r.gateway.RolloutChanged(status, now)
 		r.withhold(now)
 	}
 }
 
 // Voted tells the answer to a vote.
 func (r *Router) Voted(how decision.Outcome) {
-	r.events <- func(now int64) {
-		if how != decision.Acked {
+	r.events <- func(now monotonic.Time) {
+		if how != decision.OutcomeSuccess {
 			slog.Warn("a vote did not count", "outcome", how)
 		}
-		r.gateway.ToldVote(how, now)
+		r.gateway.VoteAnswered(how, now)
 	}
 }
 
 // Heard tells a datagram of another gateway.
 func (r *Router) Heard(from int, text []byte) {
-	r.events <- func(now int64) {
+	r.events <- func(now monotonic.Time) {
 		if r.list.exchange != nil && r.heardOfList(from, text, now) {
 			return
 		}
 		if t := protocol.UnpackTotals(text, from, r.named); t != nil {
-			r.gateway.ToldTotals(t, now)
+			r.gateway.EvidenceReceived(t, now)
 		} else if f := protocol.UnpackFinding(text, from, r.named); f != nil {
-			r.gateway.ToldFinding(f, now)
+			r.gateway.VoterReportReceived(f, now)
 		}
 	}
 }
 
 // obey carries out what was decided on a command.
-func (r *Router) obey(c *inHand, d decision.Decision, now int64) {
-	switch d.Act {
-	case decision.Send:
-		f := &flight{of: c, dl: d.Delivery, sentAt: now, until: now + d.For, order: r.order}
+func (r *Router) obey(c *inHand, d decision.Decision, now monotonic.Time) {
+	switch d.Action {
+	case decision.ActionForward:
+		f := &flight{of: c, dl: d.Attempt, sentAt: now, until: now + d.Timeout, order: r.order}
 		r.order++
-		c.out[d.Delivery] = f
+		c.out[d.Attempt] = f
 		heap.Push(&r.due, f)
-		to := r.known[d.To]
-		r.trace.sent(c.id, to, r.list.revision, d.Delivery.Number)
-		f.on = r.outside.Send(to.listed.Address, time.Now().Add(time.Duration(d.For)), c.words,
-			func(how decision.Outcome, value, load []byte) {
-				r.events <- func(now int64) { r.ended(f, how, value, load, now) }
+		to := r.known[d.Endpoint]
+		r.trace.sent(c.id, to, r.list.revision, d.Attempt.Number)
+		f.on = r.outside.Send(to.listed.Address, time.Now().Add(time.Duration(d.Timeout)), c.words,
+			func(response protocol.Response) {
+				r.events <- func(now monotonic.Time) { r.ended(f, response, now) }
 			})
-	case decision.Nack:
+	case decision.ActionReject:
 		if c.client != nil {
 			r.trace.answered(c.id, "refused", d.Reason)
-			c.client.Nacked(d.After)
+			c.client.Nacked(d.RetryAfter)
 		}
-	case decision.Fail:
+	case decision.ActionFail:
 		if c.client != nil {
 			r.trace.answered(c.id, "failed", d.Reason)
 			c.client.Failed()
@@ -313,91 +314,92 @@
 }
 
 // ended tells how a delivery ended, unless it was given up before.
-func (r *Router) ended(f *flight, how decision.Outcome, value, load []byte, now int64) {
+func (r *Router) ended(f *flight, response protocol.Response, now monotonic.Time) {
 	if f.of.out[f.dl] != f {
 		return
 	}
 	delete(f.of.out, f.dl)
 	heap.Remove(&r.due, f.at)
-	if busy, ok := protocol.Load(load, r.busy); ok {
-		r.gateway.ToldLoad(f.dl.To, busy, now)
+	if busy, ok := protocol.Load(response.LoadReport, r.busy); ok {
+		r.gateway.LoadReported(f.dl.Endpoint, busy, now)
 	}
-	if how == decision.Acked && value == nil {
-		how = decision.Errored // it answers something else
+	how := response.Outcome
+	if how == decision.OutcomeSuccess && response.Value == nil {
+		how = decision.OutcomeError // it answers something else
 	}
-	if how == decision.Acked {
-		r.gateway.ToldServed(f.dl, now-int64(f.on.ConnectionAge()))
+	if how == decision.OutcomeSuccess {
+		r.gateway.AttemptServed(f.dl, now-f.on.ConnectionAge())
 	}
 	settled := f.of.client == nil
-	r.trace.ended(f.of.id, r.known[f.dl.To], how, now-f.sentAt)
-	if how == decision.Acked && !settled {
-		r.trace.answered(f.of.id, "served", decision.NoReason)
-		f.of.client.Acked(value)
+	r.trace.ended(f.of.id, r.known[f.dl.Endpoint], how, now-f.sentAt)
+	if how == decision.OutcomeSuccess && !settled {
+		r.trace.answered(f.of.id, "served", decision.ReasonNone)
+		f.of.client.Acked(response.Value)
 	}
-	d := r.gateway.After(f.dl, how, now-f.sentAt, settled, now)
-	r.obey(f.of, d, now)
+	result := decision.AttemptResult{Outcome: how, Duration: now - f.sentAt, Settled: settled}
+	r.obey(f.of, r.gateway.FinishAttempt(f.dl, result, now), now)
 }
 
 // giveUp ends a delivery by the gateway's own will.
-func (r *Router) giveUp(f *flight, how decision.Outcome, now int64) {
+func (r *Router) giveUp(f *flight, how decision.Outcome, now monotonic.Time) {
 	reached, ended := f.on.GiveUp()
 	if ended {
-		f.until = now + int64(time.Millisecond)
+		f.until = now + time.Duration(time.Millisecond)
 		heap.Fix(&r.due, f.at)
 		return
 	}
 	if !reached {
-		how = decision.Unsent
+		how = decision.OutcomeNotSent
 	}
-	r.ended(f, how, nil, nil, now)
+	r.ended(f, protocol.Response{Outcome: how}, now)
 }
 
 // withhold gives up what has not begun to go out and may no longer: it waits for a connection, for up to a
 // second, while its client leaves, its instance is told to drain or the cap falls.
-func (r *Router) withhold(now int64) {
+func (r *Router) withhold(now monotonic.Time) {
 	var late []*flight
 	for _, f := range r.due {
-		if !r.gateway.Stands(f.dl, now) && f.on.Withhold() {
+		if !r.gateway.AttemptAllowed(f.dl, now) && f.on.Withhold() {
 			late = append(late, f)
 		}
 	}
 	slices.SortFunc(late, func(a, b *flight) int { return a.order - b.order })
 	for _, f := range late {
-		r.ended(f, decision.Unsent, nil, nil, now)
+		r.ended(f, protocol.Response{Outcome: decision.OutcomeNotSent}, now)
 	}
 }
 
 // expire gives up what has been out for as long as it may be.
-func (r *Router) expire(now int64) {
+func (r *Router) expire(now monotonic.Time) {
 	for len(r.due) > 0 && r.due[0].until <= now {
-		r.giveUp(r.due[0], decision.TimedOut, now)
+		r.giveUp(r.due[0], decision.OutcomeTimeout, now)
 	}
 }
 
 // chores carries out what is due and gives how long to wait.
-func (r *Router) chores(now int64) int64 {
-	wait, due := r.gateway.Wait(now)
-	for _, cmd := range due.Ready {
+func (r *Router) chores(now monotonic.Time) time.Duration {
+	wait, due := r.gateway.Tick(now)
+	for _, cmd := range due.Requests {
 		if c := r.commands[cmd]; c != nil {
-			r.obey(c, r.gateway.Where(cmd, now), now)
+			r.obey(c, r.gateway.Route(cmd, now), now)
 		}
 	}
-	if due.Watch {
+	if due.PollDiscovery {
 		r.outside.Watch()
 	}
-	for _, dl := range due.Cancel {
-		if c := r.commands[dl.Cmd]; c != nil && c.out[dl] != nil {
-			r.giveUp(c.out[dl], decision.Withdrawn, now)
+	for _, dl := range due.CancelAttempts {
+		if c := r.commands[dl.Request]; c != nil && c.out[dl] != nil {
+			r.giveUp(c.out[dl], decision.OutcomeCanceled, now)
 		}
 	}
-	if due.Totals != nil {
-		text := protocol.PackTotals(due.Totals, r.number)
-		for _, to := range due.Voters {
+	if due.EvidenceReport != nil {
+		text := protocol.PackTotals(due.EvidenceReport, r.number)
+		for _, to := range due.EvidenceRecipients {
 			r.outside.Post(to, text)
 		}
 	}
-	if due.Finding != nil {
-		r.outside.Post(-1, protocol.PackFinding(due.Finding, r.number))
+	if due.VoterReport != nil {
+		r.outside.Post(-1, protocol.PackFinding(due.VoterReport, r.number))
 	}
 	for _, v := range due.Votes {
 		slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", v.Verdict)
@@ -408,7 +410,7 @@
 
 // tidy lets go of the client of a command that is over, and of the command once nothing of it is out.
 func (r *Router) tidy(c *inHand) {
-	if !c.cmd.Ended {
+	if !c.cmd.Completed {
 		return
 	}
 	if c.client != nil {
@@ -428,14 +430,14 @@
 	return h.Sum32()
 }
 
-func (r *Router) number(it *decision.Instance) uint32 {
+func (r *Router) number(it *decision.Endpoint) uint32 {
 	if i := r.known[it]; i != nil {
 		return i.number
 	}
 	return 0
 }
 
-func (r *Router) named(number uint32) *decision.Instance { return r.numbered[number] }
+func (r *Router) named(number uint32) *decision.Endpoint { return r.numbered[number] }
 
 // timers is a heap of what is out, by the moment until which it may be.
 type timers []*flight
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -16,7 +16,7 @@
 	return trace{on: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
 
-func (t trace) taken(id string, left int64) {
+func (t trace) taken(id string, left time.Duration) {
 	if t.on {
 		slog.Debug("a request is taken", "id", id, "left", time.Duration(left))
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-func (t trace) ended(id string, to *instance, how decision.Outcome, took int64) {
+func (t trace) ended(id string, to *instance, how decision.Outcome, took time.Duration) {
 	if t.on {
 		name := ""
 		if to != nil { // it may have been forgotten meanwhile
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t trace) answered(id, how string, why decision.Reason) {
+func (t trace) answered(id, how string, why decision.RejectReason) {
 	if t.on {
 		slog.Debug("a request has its final answer", "id", id, "answer", how, "reason", why)
 	}
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -2,7 +2,9 @@
 // the state machines of package protocol, and decide nothing.
 package transport
 
-import "sync"
+import (
+	"sync"
+)
 
 // Budget owns the gateway's descriptors. What discovery, the platform, peers and the runtime need is kept
 // back from the start; clients and instances share the rest, each up to its part, and at the limit idle
--- a/internal/transport/desk.go
+++ b/internal/transport/desk.go
@@ -15,7 +15,7 @@
 // Desk keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
 type Desk struct {
 	within time.Duration
-	told   func(build, stage int, phase decision.Phase, most float64, since int64)
+	told   func(decision.RolloutStatus)
 	voted  func(how decision.Outcome)
 	state  func(address string, why error) // without a reason it is heard
 	chance *seededrand.Chance
@@ -42,7 +42,7 @@
 // NewDesk takes the platform's address, how long a vote's answer is waited for, and whom to tell of news, of
 // how a vote ended, and of the connection's coming and going.
 func NewDesk(address string, within time.Duration,
-	told func(build, stage int, phase decision.Phase, most float64, since int64), voted func(how decision.Outcome),
+	told func(decision.RolloutStatus), voted func(how decision.Outcome),
 	state func(address string, why error), chance *seededrand.Chance) *Desk {
 	return &Desk{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
 		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}
@@ -74,7 +74,7 @@
 	select {
 	case d.votes <- v:
 	default:
-		go d.voted(decision.Unconnected)
+		go d.voted(decision.OutcomeConnectFailed)
 	}
 }
 
@@ -107,7 +107,7 @@
 	for {
 		select {
 		case <-d.votes:
-			d.voted(decision.Unconnected)
+			d.voted(decision.OutcomeConnectFailed)
 		case <-d.moved:
 			return
 		case <-again:
@@ -131,7 +131,7 @@
 	defer func() {
 		conn.Close()
 		for range votes {
-			d.voted(decision.TimedOut)
+			d.voted(decision.OutcomeTimeout)
 		}
 	}()
 	lines, broken, done := make(chan []byte), make(chan error, 1), make(chan struct{})
@@ -154,7 +154,7 @@
 			cast, leaveAt = nil, time.Now().Add(leaveFor)
 		case line := <-lines:
 			alive = time.Now()
-			err := protocol.Desk(line, d.told, func(id int, how decision.Outcome) {
+			err := protocol.ParseControllerLine(line, protocol.ControllerEvents{Status: d.told, Answered: func(id int, how decision.Outcome) {
 				if id == listening {
 					d.heard = id
 					d.state(address, nil)
@@ -166,7 +166,7 @@
 						return
 					}
 				}
-			})
+			}})
 			if err != nil {
 				return err
 			}
@@ -175,14 +175,14 @@
 			text := protocol.Ballot(d.number, v)
 			conn.SetWriteDeadline(time.Now().Add(d.within))
 			if n, err := conn.Write(text); n < len(text) {
-				d.voted(decision.Unconnected)
+				d.voted(decision.OutcomeConnectFailed)
 				return err
 			}
 			votes = append(votes, waiting{d.number, time.Now().Add(d.within)})
 		case now := <-tick.C:
 			for len(votes) > 0 && now.After(votes[0].at) {
 				votes = votes[1:]
-				d.voted(decision.TimedOut)
+				d.voted(decision.OutcomeTimeout)
 			}
 			if cast == nil && now.After(leaveAt) {
 				return nil
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -38,11 +38,11 @@
 	share      *Share
 	complaints *Complaints
 	room       *semaphore.Weighted         // bytes of commands in hand
-	longest    int64                       // a client waits
+	longest    time.Duration               // a client waits
 	beyond     chan struct{}               // holds one for each client beyond the limit
 	manyQuiet  int                         // connections that have brought a command and may stand quiet
 	ops        map[string]*decision.OpType // by the words that ask for them
-	take       func(op *decision.OpType, key uint64, id string, left int64, again func(within int64) []byte, to *Answer)
+	take       func(request protocol.Request, to *Answer)
 	gone       func(to *Answer)
 
 	mu      sync.Mutex
@@ -53,8 +53,8 @@
 // NewFront takes how many bytes of commands may be in hand, the longest time for which a client is taken to
 // wait, the op types by the words that ask for them, and whom to tell of a command and of a client that left
 // before its answer.
-func NewFront(budget *Budget, complaints *Complaints, room, longest int64, ops map[string]*decision.OpType,
-	take func(op *decision.OpType, key uint64, id string, left int64, again func(within int64) []byte, to *Answer),
+func NewFront(budget *Budget, complaints *Complaints, room int64, longest time.Duration, ops map[string]*decision.OpType,
+	take func(request protocol.Request, to *Answer),
 	gone func(to *Answer)) *Front {
 	f := &Front{complaints: complaints, room: semaphore.NewWeighted(room), longest: longest,
 		beyond: make(chan struct{}, beyondMost), ops: ops, take: take, gone: gone}
--- a/internal/transport/instances.go
+++ b/internal/transport/instances.go
@@ -62,10 +62,10 @@
 
 // Sending is a delivery on its way. It ends once, by what comes back or by GiveUp.
 type Sending struct {
-	since time.Time
-	until time.Time
-	words func(within int64) []byte
-	ended func(how decision.Outcome, value, load []byte)
+	since  time.Time
+	until  time.Time
+	encode func(wait time.Duration) []byte
+	ended  func(protocol.Response)
 
 	mu    sync.Mutex
 	over  bool
@@ -75,9 +75,9 @@
 
 // Send starts a delivery, for which the gateway waits until the given time. What comes of it is told to
 // ended, on another goroutine, unless it was given up before.
-func (in *Instances) Send(address string, until time.Time, words func(within int64) []byte,
-	ended func(how decision.Outcome, value, load []byte)) *Sending {
-	s := newSending(until, words, ended)
+func (in *Instances) Send(address string, until time.Time, encode func(wait time.Duration) []byte,
+	ended func(protocol.Response)) *Sending {
+	s := newSending(until, encode, ended)
 	if l := in.takeIdle(address); l != nil {
 		go l.write(s, true)
 	} else {
@@ -87,9 +87,9 @@
 }
 
 // newSending is a delivery that is decided now.
-func newSending(until time.Time, words func(within int64) []byte,
-	ended func(how decision.Outcome, value, load []byte)) *Sending {
-	return &Sending{since: time.Now(), until: until, words: words, ended: ended}
+func newSending(until time.Time, encode func(wait time.Duration) []byte,
+	ended func(protocol.Response)) *Sending {
+	return &Sending{since: time.Now(), until: until, encode: encode, ended: ended}
 }
 
 // GiveUp ends a delivery without an outcome and closes its connection before it returns: what is sent
@@ -129,9 +129,9 @@
 }
 
 // end tells the outcome, unless one was told or the delivery was given up.
-func (s *Sending) end(how decision.Outcome, value, load []byte) {
+func (s *Sending) end(outcome decision.Outcome) {
 	if s.settle() {
-		s.ended(how, value, load)
+		s.ended(protocol.Response{Outcome: outcome})
 	}
 }
 
@@ -155,19 +155,19 @@
 // open brings a connection up for a delivery.
 func (in *Instances) open(address string, s *Sending) {
 	if !in.share.take() {
-		s.end(decision.Unsent, nil, nil)
+		s.end(decision.OutcomeNotSent)
 		return
 	}
 	conn, err := net.DialTimeout("tcp", address, in.connectWithin)
 	if err != nil {
 		in.share.give()
-		s.end(decision.Unconnected, nil, nil)
+		s.end(decision.OutcomeConnectFailed)
 		return
 	}
 	l := &link{in: in, address: address, openedAt: time.Now(), conn: conn.(*net.TCPConn)}
 	if l.raw, err = l.conn.SyscallConn(); err != nil {
 		l.close(err.Error())
-		s.end(decision.Unconnected, nil, nil)
+		s.end(decision.OutcomeConnectFailed)
 		return
 	}
 	go l.write(s, false)
@@ -190,11 +190,11 @@
 		return
 	}
 	within := time.Until(s.until)
-	bytes := s.words(int64(within))
+	bytes := s.encode(within)
 	l.conn.SetReadDeadline(time.Time{})
 	// Nothing but the writing itself comes after this look at the time: the process may stand still at any point.
 	if within <= 0 || time.Since(s.since) > l.in.connectWithin+heldUp {
-		s.end(decision.Unsent, nil, nil)
+		s.end(decision.OutcomeNotSent)
 	}
 	if !s.begin(l) {
 		l.spare()
@@ -210,10 +210,10 @@
 		l.close(err.Error())
 		l.again(s, used)
 	case err != nil:
-		s.end(decision.Unconnected, nil, nil)
+		s.end(decision.OutcomeConnectFailed)
 		l.close(err.Error())
 	case closed:
-		s.end(decision.Broken, nil, nil)
+		s.end(decision.OutcomeConnectionLost)
 	case answered: // before it was written
 		l.in.giveIdle(l)
 	}
@@ -255,7 +255,7 @@
 	if used {
 		l.in.open(l.address, s)
 	} else {
-		s.end(decision.Unconnected, nil, nil)
+		s.end(decision.OutcomeConnectFailed)
 	}
 }
 
@@ -312,10 +312,10 @@
 		l.in.complaints.Complain("an instance sent what nobody asked for", "address", l.address)
 		return false
 	}
-	how, value, load, done, err := reply.Next(b)
+	response, done, err := reply.Next(b)
 	if err != nil {
 		l.in.complaints.Complain("an instance sent a damaged reply", "address", l.address)
-		how, done = decision.Errored, true // it may have run, and the instance is there
+		response, done = protocol.Response{Outcome: decision.OutcomeError}, true // it may have run, and the instance is there
 	}
 	if !done {
 		return true
@@ -333,7 +333,7 @@
 		l.in.giveIdle(l)
 	}
 	if told {
-		s.ended(how, value, load)
+		s.ended(response)
 	}
 	return sound
 }
@@ -355,7 +355,7 @@
 		return
 	}
 	if !writing { // else write tells, which knows whether the last byte went out
-		s.end(decision.Broken, nil, nil)
+		s.end(decision.OutcomeConnectionLost)
 	}
 }
 
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -47,7 +47,7 @@
 func (a *Answer) Acked(value []byte) { a.end(protocol.BulkHead(len(value)), value, protocol.End) }
 
 // Nacked tells that trying again is harmless, and when to, if there is such a time.
-func (a *Answer) Nacked(after int64) { a.end(redcon.AppendError(nil, protocol.Refused(after))) }
+func (a *Answer) Nacked(after time.Duration) { a.end(redcon.AppendError(nil, protocol.Refused(after))) }
 
 // Failed promises nothing.
 func (a *Answer) Failed() { a.end(redcon.AppendError(nil, protocol.Failed)) }
@@ -128,14 +128,15 @@
 func (f *Front) command(cmd redcon.Command, a *Answer, room bool) (fault string) {
 	switch string(cmd.Args[0]) {
 	case "API.READ", "API.WRITE":
-		op, key, id, left, again, err := protocol.Decode(cmd.Args, f.ops)
+		request, err := protocol.ParseRequest(cmd.Args, f.ops)
 		if err != nil {
 			return err.Error()
 		}
 		if !room {
-			left = 0
+			request.Remaining = 0
 		}
-		f.take(op, key, id, min(left, f.longest), again, a)
+		request.Remaining = min(request.Remaining, f.longest)
+		f.take(request, a)
 	case "PING":
 		a.end(redcon.AppendString(nil, "PONG"))
 	default:
