--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -14,12 +14,12 @@
 
 // Where decides on a command that needs a delivery: the ordinary path, from top to bottom.
 func (lb *Balancer) Route(request *Request, now monotonic.Time) Decision {
-	if request.Completed || request.InFlight > 0 {
+	if request.completed || request.inFlight > 0 {
 		return Decision{Action: ActionNone}
 	}
 	// A delivery is made only if the time left exceeds the time it is expected to take, and if it can still be
 	// worth something; else the final answer goes out at once.
-	if len(request.Attempts) >= lb.attemptLimits.maxAttempts {
+	if len(request.attempts) >= lb.attemptLimits.maxAttempts {
 		return lb.refuse(request, ReasonAttemptsExhausted)
 	}
 	if lb.worthwhileUntil(request)-now <= time.Duration(lb.expectedLatency(request)) {
@@ -45,10 +45,10 @@
 		return lb.enqueue(request)
 	}
 	lb.dequeue(request)
-	attempt := &Attempt{Number: len(request.Attempts), Request: request, Endpoint: endpoint, sentAt: now, mayHaveExecuted: true,
+	attempt := &Attempt{number: len(request.attempts), Request: request, Endpoint: endpoint, sentAt: now, mayHaveExecuted: true,
 		build: endpoint.build, zone: endpoint.zone, cell: endpoint.cell, duringWarmUp: endpoint.startedAt > 0 && now-endpoint.startedAt < evidenceWarmUp}
-	request.Attempts = append(request.Attempts, attempt)
-	request.InFlight++
+	request.attempts = append(request.attempts, attempt)
+	request.inFlight++
 	endpoint.inFlight, endpoint.lastAttemptAt = append(endpoint.inFlight, attempt), now
 	lb.inFlight++
 	endpoint.recentAttempts.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
@@ -62,7 +62,7 @@
 
 // allowed checks the rules for one delivery, each on this gateway's own knowledge.
 func (lb *Balancer) mayAttempt(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
-	if request.Completed || now >= request.deadline || now < lb.catchUpUntil || len(request.Attempts) >= lb.attemptLimits.maxAttempts || request.InFlight > 0 {
+	if request.completed || now >= request.deadline || now < lb.catchUpUntil || len(request.attempts) >= lb.attemptLimits.maxAttempts || request.inFlight > 0 {
 		return false
 	}
 	return endpoint.listed && endpoint.ready && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) && lb.repeatAllowed(request, endpoint, now) && lb.withinExposureCap(request, endpoint, now) && lb.withinSlowStart(endpoint, now)
@@ -73,7 +73,7 @@
 // nothing. Guards against connections that come up late; a lower cap above nothing binds later, with the window.
 func (lb *Balancer) AttemptAllowed(attempt *Attempt, now monotonic.Time) bool {
 	endpoint := attempt.Endpoint
-	return !attempt.Request.Completed && endpoint.listed && endpoint.ready && endpoint.build == attempt.build && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) &&
+	return !attempt.Request.completed && endpoint.listed && endpoint.ready && endpoint.build == attempt.build && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) &&
 		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.cap <= 0)
 }
 
@@ -93,11 +93,11 @@
 // FinishAttempt takes in how an attempt ended and decides what becomes of its request.
 func (lb *Balancer) FinishAttempt(attempt *Attempt, result AttemptResult, now monotonic.Time) Decision {
 	request, endpoint, outcome := attempt.Request, attempt.Endpoint, result.Outcome
-	if attempt.Done {
+	if attempt.done {
 		return Decision{Action: ActionNone}
 	}
-	attempt.Done = true
-	request.InFlight--
+	attempt.done = true
+	request.inFlight--
 	if lb.lastFinishedAt = now; !attempt.endpointSilent {
 		lb.inFlight--
 	}
@@ -111,10 +111,10 @@
 		lb.stick(request.key, attempt.build)
 	}
 	if result.Settled || outcome == OutcomeSuccess {
-		request.Completed = true
+		request.completed = true
 		lb.dequeue(request)
 	}
-	if attempt.mayHaveExecuted && request.opType.idempotency == NonIdempotent && !request.Completed {
+	if attempt.mayHaveExecuted && request.opType.idempotency == NonIdempotent && !request.completed {
 		return lb.refuse(request, ReasonMayHaveExecuted)
 	}
 	return lb.Route(request, now)
--- a/decision/health.go
+++ b/decision/health.go
@@ -169,7 +169,7 @@
 			lb.inFlight--
 		}
 		again := request.opType.safeToRepeat() && (request.opType.idempotency == Idempotent || now+lb.tick < attempt.sentAt+request.opType.dedupWindow)
-		if again && lb.attemptLimits.mayCancel && !attempt.canceled && !request.Completed && len(request.Attempts) < lb.attemptLimits.maxAttempts &&
+		if again && lb.attemptLimits.mayCancel && !attempt.canceled && !request.completed && len(request.attempts) < lb.attemptLimits.maxAttempts &&
 			request.deadline-now > time.Duration(request.opType.meanLatency) {
 			attempt.canceled = true
 			due.CancelAttempts = append(due.CancelAttempts, attempt)
--- a/decision/request.go
+++ b/decision/request.go
@@ -53,7 +53,7 @@
 
 // expected is the time a delivery is expected to take; a first one is not refused for an inflated mean.
 func (lb *Balancer) expectedLatency(request *Request) float64 {
-	if len(request.Attempts) == 0 {
+	if len(request.attempts) == 0 {
 		return min(request.opType.meanLatency*1.3, float64(request.opType.latencyObjective)*0.85)
 	}
 	return request.opType.meanLatency
@@ -63,8 +63,8 @@
 // run, or where a repeat does no harm.
 func (lb *Balancer) refuse(request *Request, why RejectReason) Decision {
 	lb.dequeue(request)
-	request.Completed = true
-	for _, attempt := range request.Attempts {
+	request.completed = true
+	for _, attempt := range request.attempts {
 		if attempt.mayHaveExecuted && !request.opType.safeToRepeat() {
 			return Decision{Action: ActionFail, Reason: why}
 		}
@@ -87,7 +87,7 @@
 	if request.opType.idempotency == Idempotent {
 		return true
 	}
-	for _, attempt := range request.Attempts {
+	for _, attempt := range request.attempts {
 		if !attempt.mayHaveExecuted {
 			continue
 		}
@@ -104,12 +104,12 @@
 // ToldFlowing tells that an answer has begun to stream: it belongs to the client from here on.
 func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
 	attempt.Endpoint.lastResponseAt = now
-	attempt.Request.Completed = true
+	attempt.Request.completed = true
 }
 
 // ToldGone tells that the client has left.
 func (lb *Balancer) ClientGone(request *Request) {
-	request.Completed = true
+	request.completed = true
 	lb.dequeue(request)
 }
 
@@ -119,38 +119,58 @@
 	request.latencyDeadline = min(request.latencyDeadline, lastAnswer)
 }
 
-// Delivery lives from its sending to its outcome.
+// Attempt is one attempt of a request, from its start to its outcome.
 type Attempt struct {
-	Number   int
 	Request  *Request
 	Endpoint *Endpoint
-	Done     bool
 
+	number          int // of its request, from 0 on
+	done            bool
 	sentAt          monotonic.Time
-	build           int // what the instance was when it was sent
+	build           int // the endpoint's build, zone and cell when the attempt started
 	zone            int
 	cell            int
-	overdueCounted  bool // overdue, and booked as lost
-	endpointSilent  bool // and its instance held to be silent
-	canceled        bool // off, as its instance is silent
-	mayHaveExecuted bool // it is out, or its outcome does not prove that it never ran
-	duringWarmUp    bool // the instance was in its first seconds
+	overdueCounted  bool // overdue, and recorded as a loss
+	endpointSilent  bool // overdue at an endpoint that counts as silent: no longer part of the balancer's attempts in flight
+	canceled        bool // the caller was asked to cancel it
+	mayHaveExecuted bool // in flight, or ended with an outcome that does not prove that the request never ran
+	duringWarmUp    bool // started while outcomes of its endpoint were no evidence yet
 }
 
-// Command lives from its arrival to its final answer.
+// Number is the attempt's place among those of its request, from 0 on.
+func (attempt *Attempt) Number() int { return attempt.number }
+
+// Done reports whether FinishAttempt has been called for the attempt.
+func (attempt *Attempt) Done() bool { return attempt.done }
+
+// Request is one request, from its arrival to its final answer.
 type Request struct {
-	Attempts  []*Attempt
-	InFlight  int  // deliveries still out
-	Completed bool // its final answer is given
+	attempts  []*Attempt
+	inFlight  int  // attempts that have not ended
+	completed bool // it has its final answer, or its client has left
 
 	opType          *OpType
-	key             uint64
-	latencyDeadline monotonic.Time // the moment by which its answer is worth the whole
-	deadline        monotonic.Time // the moment at which the client gives up
+	key             uint64         // requests with the same key are related; 0 for none
+	latencyDeadline monotonic.Time // an answer until then has its whole value
+	deadline        monotonic.Time // the client gives up then
 	priority        float64
 	queued          bool
 }
 
+// Attempt returns the attempt with a number, or nil where the request has had no such attempt.
+func (request *Request) Attempt(number int) *Attempt {
+	if number >= len(request.attempts) {
+		return nil
+	}
+	return request.attempts[number]
+}
+
+// AttemptInFlight reports whether an attempt of the request has not ended.
+func (request *Request) AttemptInFlight() bool { return request.inFlight > 0 }
+
+// Completed reports whether the request has its final answer, or its client has left.
+func (request *Request) Completed() bool { return request.completed }
+
 // OpType is one type of command, with what its answers have taught.
 type OpType struct {
 	index            int
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -67,7 +67,7 @@
 // burden is what decides between two instances: our own in flight there.
 func (lb *Balancer) loadOf(endpoint *Endpoint, request *Request) float64 {
 	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, 0.01)
-	for _, attempt := range request.Attempts {
+	for _, attempt := range request.attempts {
 		if attempt.Endpoint == endpoint {
 			load *= 4 // it has failed this command already
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -294,7 +294,7 @@
 		c.out[d.Attempt] = f
 		heap.Push(&r.due, f)
 		to := r.known[d.Endpoint]
-		r.trace.sent(c.id, to, r.list.revision, d.Attempt.Number)
+		r.trace.sent(c.id, to, r.list.revision, d.Attempt.Number())
 		f.on = r.outside.Send(to.listed.Address, time.Now().Add(time.Duration(d.Timeout)), c.words,
 			func(response protocol.Response) {
 				r.events <- func(now monotonic.Time) { r.ended(f, response, now) }
@@ -410,7 +410,7 @@
 
 // tidy lets go of the client of a command that is over, and of the command once nothing of it is out.
 func (r *Router) tidy(c *inHand) {
-	if !c.cmd.Completed {
+	if !c.cmd.Completed() {
 		return
 	}
 	if c.client != nil {
