--- a/decision/admission.go
+++ b/decision/admission.go
@@ -6,6 +6,7 @@
 	"sort"
 	"time"
 
+	"laurelring/decision/decay"
 	"laurelring/decision/monotonic"
 )
 
@@ -85,14 +86,14 @@
 
 // arrive books a command for the rate.
 func (lb *Balancer) recordArrival(now monotonic.Time) {
-	lb.arrivalRate = lb.arrivalRate*decay(lb.lastArrivalAt, now, arrivalRateSpan) + float64(time.Second)/float64(arrivalRateSpan)
+	lb.arrivalRate = lb.arrivalRate*decay.Factor(lb.lastArrivalAt, now, arrivalRateSpan) + float64(time.Second)/float64(arrivalRateSpan)
 	lb.lastArrivalAt = now
 }
 
 // rate is our commands a second, over the last seconds or since our start.
 func (lb *Balancer) requestRate(now monotonic.Time) float64 {
 	since := max(now-lb.startedAt, time.Millisecond)
-	return lb.arrivalRate * decay(lb.lastArrivalAt, now, arrivalRateSpan) / (1 - decay(0, since, arrivalRateSpan))
+	return lb.arrivalRate * decay.Factor(lb.lastArrivalAt, now, arrivalRateSpan) / (1 - decay.Factor(0, since, arrivalRateSpan))
 }
 
 // Tenant is one customer's share.
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/seeded"
 )
 
 const (
@@ -51,9 +52,9 @@
 	request.inFlight++
 	endpoint.inFlight, endpoint.lastAttemptAt = append(endpoint.inFlight, attempt), now
 	lb.inFlight++
-	endpoint.recentAttempts.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	endpoint.recentAttempts.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
 	if lb.isCanary(endpoint.build) {
-		lb.canaryAttempts(endpoint.build, request.opType).add(now, lb.canary.window)
+		lb.canaryAttempts(endpoint.build, request.opType).Add(now, lb.canary.window)
 	}
 	// It may stay out as long as the client waits: what we stop waiting for may go on working unseen, and a
 	// limit that does not count it lets a jam feed itself. Silent machines are found out by rescue instead.
@@ -126,7 +127,7 @@
 	until := now + 10*time.Second
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
-		lb.rollout.nextEvidenceAt = now + time.Duration(lb.draw(int(evidenceInterval/time.Millisecond)))*time.Millisecond // gateways take turns at the voters
+		lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval) // gateways take turns at the voters
 		lb.scheduleFirstPoll(now)
 	}
 	for i, request := range lb.queue {
@@ -172,7 +173,7 @@
 	rank, gateways      int
 	zone                int
 	tick                time.Duration
-	seed, draws         uint64
+	random              seeded.Source
 	startedAt           monotonic.Time // when it was first asked
 	endpoints           []*Endpoint
 	opTypes             []*OpType
--- a/decision/canary.go
+++ b/decision/canary.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/slidingwindow"
 )
 
 const (
@@ -43,8 +44,8 @@
 	if canary.perOpType {
 		taken = &request.opType.arrivals
 	}
-	sent := lb.canaryAttempts(endpoint.build, request.opType).count(now - canary.window - lb.tick)
-	return float64(sent+1) <= canary.allowance+most*float64(taken.count(now-canary.window+lb.tick))
+	sent := lb.canaryAttempts(endpoint.build, request.opType).CountAfter(now - canary.window - lb.tick)
+	return float64(sent+1) <= canary.allowance+most*float64(taken.CountAfter(now-canary.window+lb.tick))
 }
 
 // headroom: a trial instance gets little more than its size's share of our commands, even where the cap
@@ -119,10 +120,10 @@
 }
 
 // trialWindow is where deliveries to a build on trial are counted, by op type where the cap is.
-func (lb *Balancer) canaryAttempts(build int, op *OpType) *slidingWindow {
+func (lb *Balancer) canaryAttempts(build int, op *OpType) *slidingwindow.Window {
 	canary := &lb.canary
 	if canary.attemptsByBuild[build] == nil {
-		canary.attemptsByBuild[build] = make([]slidingWindow, len(lb.opTypes))
+		canary.attemptsByBuild[build] = make([]slidingwindow.Window, len(lb.opTypes))
 	}
 	if canary.perOpType {
 		return &canary.attemptsByBuild[build][op.index]
@@ -167,10 +168,10 @@
 	stage           int
 	phase           RolloutPhase
 	cap             float64
-	arrivals        slidingWindow
-	attemptsByBuild map[int][]slidingWindow // by build, then by op type (or one for all)
-	stickyBuilds    map[uint64]int          // a key to the newest build that has answered it
-	keyCounts       map[uint64]int          // how often a key has come
-	keyedRequests   int                     // commands with a key
-	stickyRequests  int                     // those of them with a pinned key
+	arrivals        slidingwindow.Window
+	attemptsByBuild map[int][]slidingwindow.Window // by build, then by op type (or one for all)
+	stickyBuilds    map[uint64]int                 // a key to the newest build that has answered it
+	keyCounts       map[uint64]int                 // how often a key has come
+	keyedRequests   int                            // commands with a key
+	stickyRequests  int                            // those of them with a pinned key
 }
--- a/decision/config.go
+++ b/decision/config.go
@@ -5,6 +5,9 @@
 	"fmt"
 	"math"
 	"time"
+
+	"laurelring/decision/seeded"
+	"laurelring/decision/slidingwindow"
 )
 
 // Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
@@ -113,7 +116,7 @@
 	}
 	gateways := max(config.Gateways, 1)
 	lb := &Balancer{
-		seed:                config.Seed,
+		random:              seeded.New(config.Seed),
 		rank:                config.Rank,
 		gateways:            gateways,
 		zone:                config.Zone,
@@ -178,7 +181,7 @@
 		stickyKeys:      config.StickyKeys,
 		stageCaps:       config.StageCaps,
 		build:           -1,
-		attemptsByBuild: map[int][]slidingWindow{},
+		attemptsByBuild: map[int][]slidingwindow.Window{},
 		stickyBuilds:    map[uint64]int{},
 		keyCounts:       map[uint64]int{},
 	}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/slidingwindow"
 )
 
 // Ready tells whether the list names an instance as one that takes deliveries.
@@ -29,7 +30,7 @@
 // UpdateEndpoint takes in one entry of the endpoint list. CommitEndpointList ends the update.
 func (lb *Balancer) UpdateEndpoint(endpoint *Endpoint, status EndpointStatus, now monotonic.Time) {
 	if !endpoint.listed {
-		endpoint.listed, endpoint.drawKey = true, uint64(lb.draw(1<<30))
+		endpoint.listed, endpoint.drawKey = true, uint64(lb.random.Below(1<<30))
 		lb.endpoints = append(lb.endpoints, endpoint)
 	}
 	if endpoint.evidence == nil || status.Build != endpoint.build {
@@ -135,19 +136,19 @@
 	startedAt      monotonic.Time
 	firstStartedAt monotonic.Time // when it first started with its build
 
-	learnedAt                       monotonic.Time // when its start was told
-	lastAttemptAt                   monotonic.Time // our last delivery since then
-	inFlight                        []*Attempt     // ours, in sending order
-	recentAttempts                  slidingWindow  // our deliveries within the cold span
-	recentSuccesses                 slidingWindow  // what it answered us within the cold span
-	concurrencyLimit                float64        // how many of ours it may hold
-	limitDecreasedAt                monotonic.Time // when the limit was last cut
-	relativeLatency                 float64        // smoothed time of its answers against the op types' means
-	utilization                     float64        // its own figure, where it reports one
-	utilizationAt                   monotonic.Time // when that was told
-	lastResponseAt                  monotonic.Time // its last sign of life
-	provedReadyAt                   monotonic.Time // the latest sending of a delivery by which it proved that it did not drain
-	consecutiveFailures             int            // silent failures in a row
+	learnedAt                       monotonic.Time       // when its start was told
+	lastAttemptAt                   monotonic.Time       // our last delivery since then
+	inFlight                        []*Attempt           // ours, in sending order
+	recentAttempts                  slidingwindow.Window // our deliveries within the cold span
+	recentSuccesses                 slidingwindow.Window // what it answered us within the cold span
+	concurrencyLimit                float64              // how many of ours it may hold
+	limitDecreasedAt                monotonic.Time       // when the limit was last cut
+	relativeLatency                 float64              // smoothed time of its answers against the op types' means
+	utilization                     float64              // its own figure, where it reports one
+	utilizationAt                   monotonic.Time       // when that was told
+	lastResponseAt                  monotonic.Time       // its last sign of life
+	provedReadyAt                   monotonic.Time       // the latest sending of a delivery by which it proved that it did not drain
+	consecutiveFailures             int                  // silent failures in a row
 	ejectedUntil                    monotonic.Time
 	outlierUntil                    monotonic.Time // the voters say to leave it alone until then
 	unreported                      Observation    // ours since last told
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -43,7 +43,7 @@
 	// The deliveries that one crash breaks are one failure, not many, and one among all gateways: by lot.
 	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.connectionsLostAt {
 		attempt.Endpoint.connectionsLostAt = attempt.sentAt + took
-		if lb.draw(lb.gateways) == 0 {
+		if lb.random.Below(lb.gateways) == 0 {
 			c[1]++
 		}
 	}
--- a/decision/health.go
+++ b/decision/health.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"laurelring/decision/decay"
 	"laurelring/decision/monotonic"
 )
 
@@ -63,7 +64,7 @@
 // doubted: set aside, or on probation with a delivery out, or silent, or said to be ill by the voters.
 func (lb *Balancer) isSuspect(endpoint *Endpoint, now monotonic.Time) bool {
 	return now < endpoint.ejectedUntil || endpoint.consecutiveFailures > 0 && len(endpoint.inFlight) > 0 || lb.isOverdue(endpoint, now) ||
-		now < endpoint.outlierUntil && float64(lb.draw(1000)) >= 1000*outlierProbeShare
+		now < endpoint.outlierUntil && float64(lb.random.Below(1000)) >= 1000*outlierProbeShare
 }
 
 // tend keeps an instance's health: its limit, its speed, and whether it is set aside.
@@ -86,7 +87,7 @@
 	case OutcomeSuccess:
 		lb.connectFailureRate *= 0.9
 		endpoint.recordOwnResults(1, 0, now)
-		endpoint.recentSuccesses.add(now, lb.slowStart.overloadSpan)
+		endpoint.recentSuccesses.Add(now, lb.slowStart.overloadSpan)
 		endpoint.errorRate *= 0.85
 		if endpoint.errorRate < ejectionErrorRate { // a machine that fails most and answers some stays on probation
 			endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, 0
@@ -130,7 +131,7 @@
 // traffic counts in commands, or the time would be over by its next one.
 func (lb *Balancer) eject(endpoint *Endpoint, now monotonic.Time) {
 	endpoint.consecutiveFailures++
-	turns := time.Duration(ejectionRequests) * canaryShareSpan / time.Duration(max(1, lb.slowStart.arrivals.count(now-canaryShareSpan)))
+	turns := time.Duration(ejectionRequests) * canaryShareSpan / time.Duration(max(1, lb.slowStart.arrivals.CountAfter(now-canaryShareSpan)))
 	endpoint.ejectedUntil = now + max(min(maxEjection, initialEjection<<min(endpoint.consecutiveFailures-1, 5)), min(maxEjectionByRequests, turns))
 }
 
@@ -161,7 +162,7 @@
 		}
 		// Where we meet a machine seldom, that nothing came back says little unless the voters name it ill: a jam
 		// looks the same, and work called off for it is done in vain.
-		if now >= endpoint.outlierUntil && endpoint.recentAttempts.count(now-canaryShareSpan) < silenceMinAttempts {
+		if now >= endpoint.outlierUntil && endpoint.recentAttempts.CountAfter(now-canaryShareSpan) < silenceMinAttempts {
 			continue
 		}
 		if !attempt.endpointSilent {
@@ -221,7 +222,7 @@
 
 // note books answers and losses at a machine, ours or a peer's.
 func (endpoint *Endpoint) recordResults(acked, lost int, now monotonic.Time) {
-	left := decay(endpoint.decayedAt, now, observationDecay)
+	left := decay.Factor(endpoint.decayedAt, now, observationDecay)
 	endpoint.decayedSuccesses, endpoint.decayedLosses, endpoint.decayedAt = endpoint.decayedSuccesses*left+float64(acked), endpoint.decayedLosses*left+float64(lost), now
 }
 
@@ -241,7 +242,7 @@
 	if zone >= len(lb.zoneHealth) {
 		return 0
 	}
-	return lb.zoneHealth[zone].lateRate * decay(lb.zoneHealth[zone].updatedAt, now, zoneLateDecay)
+	return lb.zoneHealth[zone].lateRate * decay.Factor(lb.zoneHealth[zone].updatedAt, now, zoneLateDecay)
 }
 
 // bookWay books a delivery to a zone.
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -48,7 +48,7 @@
 	pause = max(pause, time.Duration(polling.unansweredShare*float64(crowdBackoff)))
 	polling.failures++
 	polling.due = true
-	polling.nextAt = now + pause + lb.jitter(pause)
+	polling.nextAt = now + pause + lb.random.Jitter(pause)
 }
 
 // ToldListCrowd tells which share of the gateways, as far as is known, asks for the list without an answer.
@@ -59,7 +59,7 @@
 // firstCall sets when discovery is first called.
 func (lb *Balancer) scheduleFirstPoll(now monotonic.Time) {
 	if lb.discoveryPolling.required {
-		lb.discoveryPolling.nextAt = now + lb.jitter(min(maxFirstPoll, firstPollAlone+time.Duration(lb.gateways-1)*firstPollPerGateway))
+		lb.discoveryPolling.nextAt = now + lb.random.Jitter(min(maxFirstPoll, firstPollAlone+time.Duration(lb.gateways-1)*firstPollPerGateway))
 	}
 }
 
@@ -75,8 +75,3 @@
 	polling.due, due.PollDiscovery = false, true
 	return until
 }
-
-// jitter gives a time below a span at random, in whole milliseconds.
-func (lb *Balancer) jitter(span time.Duration) time.Duration {
-	return time.Duration(lb.draw(int(span/time.Millisecond))) * time.Millisecond
-}
--- a/decision/request.go
+++ b/decision/request.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/slidingwindow"
 )
 
 const (
@@ -32,10 +33,10 @@
 		request.priority *= overQuotaPriority
 	}
 	canary := &lb.canary
-	canary.arrivals.add(now, canary.window)
-	op.arrivals.add(now, canary.window)
+	canary.arrivals.Add(now, canary.window)
+	op.arrivals.Add(now, canary.window)
 	lb.recordArrival(now)
-	lb.slowStart.arrivals.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	lb.slowStart.arrivals.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
 	if canary.stickyKeys && arrival.Key != 0 {
 		lb.countKey(arrival.Key)
 	}
@@ -183,8 +184,8 @@
 	dedupScope       DeduplicationScope
 	dedupWindow      time.Duration
 
-	meanLatency float64       // ns; smoothed time of answers
-	arrivals    slidingWindow // commands taken, where exposure is counted by op type
+	meanLatency float64              // ns; smoothed time of answers
+	arrivals    slidingwindow.Window // commands taken, where exposure is counted by op type
 }
 
 // Model is one kind of machine, with what the earlier builds' answers have taught.
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -23,7 +23,7 @@
 			trial = append(trial, endpoint)
 		case sound:
 			others = append(others, endpoint)
-		case room && endpoint.recentAttempts.count(now-ejectedProbeInterval) == 0 && !(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now)):
+		case room && endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 && !(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now)):
 			doubtful = append(doubtful, endpoint)
 		}
 	}
@@ -56,8 +56,8 @@
 // fewer draws two instances and takes the one with fewer of ours in flight for its size and speed.
 func (lb *Balancer) leastLoadedOfTwo(some []*Endpoint, request *Request) *Endpoint {
 	n := len(some)
-	first := lb.draw(n)
-	a, b := some[first], some[(first+1+lb.draw(max(n-1, 1)))%n]
+	first := lb.random.Below(n)
+	a, b := some[first], some[(first+1+lb.random.Below(max(n-1, 1)))%n]
 	if lb.loadOf(b, request) < lb.loadOf(a, request) {
 		return b
 	}
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -3,7 +3,9 @@
 import (
 	"time"
 
+	"laurelring/decision/decay"
 	"laurelring/decision/monotonic"
+	"laurelring/decision/slidingwindow"
 )
 
 const (
@@ -38,11 +40,11 @@
 // delivery little. The rate of our commands is smoothed, as in a chance burst the share would look larger.
 func (lb *Balancer) withinBudget(budget float64, endpoint *Endpoint, span time.Duration, now monotonic.Time) bool {
 	if budget >= 1 {
-		return float64(endpoint.recentAttempts.count(now-span-lb.tick)+1) <= budget
+		return float64(endpoint.recentAttempts.CountAfter(now-span-lb.tick)+1) <= budget
 	}
-	gap := float64(max(1, lb.slowStart.arrivals.count(now-span))) / max(budget*lb.requestRate(now), 1e-9) * float64(time.Second)
+	gap := float64(max(1, lb.slowStart.arrivals.CountAfter(now-span))) / max(budget*lb.requestRate(now), 1e-9) * float64(time.Second)
 	if endpoint.lastAttemptAt == 0 {
-		return float64(now-endpoint.learnedAt) >= gap*float64(hashPair(lb.seed, endpoint.drawKey)>>40)/(1<<24)
+		return float64(now-endpoint.learnedAt) >= gap*float64(lb.random.HashOf(endpoint.drawKey)>>40)/(1<<24)
 	}
 	return float64(now-endpoint.lastAttemptAt) >= gap
 }
@@ -66,7 +68,7 @@
 		fresh := endpoint.startedAt > 0 && now-endpoint.startedAt <= lb.slowStart.warmUp+lb.slowStart.overloadSpan
 		if !fresh {
 			power += lb.power(endpoint)
-			acked += float64(endpoint.recentSuccesses.count(now - lb.slowStart.overloadSpan))
+			acked += float64(endpoint.recentSuccesses.CountAfter(now - lb.slowStart.overloadSpan))
 		}
 		if endpoint.build < lb.rollout.build && fresh {
 			young++
@@ -101,7 +103,7 @@
 // share is the number of this gateway's commands of the last span that fall to an instance by its power.
 func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
 	power := lb.power(endpoint)
-	return float64(lb.slowStart.arrivals.count(now-span)) * power / max(lb.endpointList.maxPower, power)
+	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * power / max(lb.endpointList.maxPower, power)
 }
 
 // work is what a command costs warm machines lately, by their own figures and all gateways' answers, and
@@ -114,7 +116,7 @@
 			busy += endpoint.utilization * lb.normalizedPower(endpoint)
 			// Made up for what nobody could tell before we heard all, or before the machine was known.
 			since := max(now-max(lb.rollout.underReportedAt, endpoint.learnedAt), evidenceInterval)
-			acked += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay(0, since, observationDecay))
+			acked += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay.Factor(0, since, observationDecay))
 		}
 	}
 	if busy == 0 || acked == 0 {
@@ -134,7 +136,7 @@
 	warmUp           time.Duration
 	overloadMultiple float64
 	overloadSpan     time.Duration
-	arrivals         slidingWindow
+	arrivals         slidingwindow.Window
 	shortage         float64 // times its usual share that a machine gets as far as it can, as others are gone or cold
 	usualThroughput  float64 // what a warm machine answers us for its power within the span
 }
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -29,7 +29,7 @@
 		rollout.lastVote = Vote{}
 		rollout.nextVoteAt = now + 500*time.Millisecond
 	default:
-		rollout.nextVoteAt = now + 300*time.Millisecond + time.Duration(lb.draw(400))*time.Millisecond
+		rollout.nextVoteAt = now + 300*time.Millisecond + time.Duration(lb.random.Below(400))*time.Millisecond
 	}
 }
 
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/seeded"
 )
 
 const (
@@ -161,7 +162,7 @@
 	if rollout.voters == nil || rollout.votersBuild != build {
 		all, order := make([]int, lb.gateways), make([]uint64, lb.gateways)
 		for i := range all {
-			all[i], order[i] = i, hashPair(uint64(build), uint64(i))
+			all[i], order[i] = i, seeded.Hash(uint64(build), uint64(i))
 		}
 		slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(order[a], order[b]) })
 		rollout.voters, rollout.votersBuild = all[:n], build
