--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -128,7 +128,7 @@
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
 		lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval) // gateways take turns at the voters
-		lb.scheduleFirstPoll(now)
+		lb.endpointList.polling.Start(lb.gateways, &lb.random, now)
 	}
 	for i, request := range lb.queue {
 		// The head of the queue, and whoever's time is about to run out.
@@ -139,7 +139,8 @@
 	if len(lb.queue) > 0 {
 		until = now + 2*lb.tick
 	}
-	until = lb.pollDiscovery(now, &due, until)
+	poll, nextPollAt := lb.endpointList.polling.Poll(now)
+	due.PollDiscovery, until = poll, min(until, nextPollAt)
 	for _, endpoint := range lb.endpoints {
 		until = min(until, lb.cancelSilentAttempts(endpoint, now, &due))
 	}
@@ -191,10 +192,9 @@
 	verifiedBuilds      map[int]bool   // builds that are what was signed; nil where any is taken
 	attemptLimits       attemptLimits
 	// No delivery goes out until then: the gateway has stood still.
-	catchUpUntil     monotonic.Time
-	canary           canaryState
-	slowStart        slowStartState
-	endpointList     endpointListState
-	discoveryPolling pollPacing
-	rollout          rolloutState
+	catchUpUntil monotonic.Time
+	canary       canaryState
+	slowStart    slowStartState
+	endpointList endpointListState
+	rollout      rolloutState
 }
--- a/decision/config.go
+++ b/decision/config.go
@@ -6,6 +6,7 @@
 	"math"
 	"time"
 
+	"laurelring/decision/discovery"
 	"laurelring/decision/seeded"
 	"laurelring/decision/slidingwindow"
 )
@@ -133,7 +134,9 @@
 		slowStart: newSlowStartState(config.SlowStart),
 		rollout:   newRolloutState(config.Rollout, config.Costs, gateways),
 	}
-	lb.discoveryPolling.required, lb.discoveryPolling.due = config.PollDiscovery, config.PollDiscovery
+	if config.PollDiscovery {
+		lb.endpointList.polling = discovery.NewPacing()
+	}
 	for _, opType := range config.OpTypes {
 		lb.opTypes = append(lb.opTypes, newOpType(len(lb.opTypes), opType))
 	}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -90,7 +90,7 @@
 	}
 	lb.endpointList.maxPower, lb.endpointList.maxEndpoints = max(lb.endpointList.maxPower, power), max(lb.endpointList.maxEndpoints, places)
 	if !cached {
-		lb.discoveryPolling.failures = 0
+		lb.endpointList.polling.Succeeded()
 	}
 	lb.beginCanary(newest, now)
 }
@@ -160,10 +160,3 @@
 	busyTime                        float64                     // busy time by its own figure
 	connectionsLostAt               monotonic.Time              // when it last broke off deliveries
 }
-
-// list follows the list of instances.
-type endpointListState struct {
-	lease        listLease
-	maxPower     float64 // the most that was ready at once, without what is on trial
-	maxEndpoints int     // the same, in instances
-}
--- /dev/null
+++ b/decision/endpointlist.go
@@ -0,0 +1,88 @@
+package decision
+
+import (
+	"time"
+
+	"laurelring/decision/discovery"
+	"laurelring/decision/monotonic"
+)
+
+const (
+	// harmlessStall is how long the process may stand still without harm: deadlines, windows and graces allow for it.
+	harmlessStall = 150 * time.Millisecond
+	// maxTrustedStall is how long it may and still take in what arrived meanwhile within the grace of a drain.
+	maxTrustedStall = 600 * time.Millisecond
+	// catchUpPause is how long no attempt starts after a stall, so that what arrived meanwhile is read first.
+	catchUpPause = 30 * time.Millisecond
+)
+
+// StartLease has the endpoint list trusted for no longer than a lease, of which the first begins now. Without it the list
+// is trusted for good, as where discovery pushes each change and reports when it cannot.
+func (lb *Balancer) StartLease(now monotonic.Time) { lb.endpointList.lease.Start(now) }
+
+// EndpointListConfirmed renews the lease: by an answer of discovery, or by a peer that got one, the current list was up to
+// date at a moment, as far as drains and removals go.
+func (lb *Balancer) EndpointListConfirmed(at monotonic.Time) { lb.endpointList.lease.Confirm(at) }
+
+// EndpointListTrusted reports whether the lease on the endpoint list is valid.
+func (lb *Balancer) EndpointListTrusted(now monotonic.Time) bool {
+	return lb.endpointList.lease.Valid(now)
+}
+
+// AttemptServed takes in that an endpoint served an attempt on a connection that was opened at a moment: it did not drain
+// when the attempt started, if the connection is old enough to prove that (see discovery.Lease).
+func (lb *Balancer) AttemptServed(attempt *Attempt, openedAt monotonic.Time) {
+	if attempt.build == attempt.Endpoint.build && lb.endpointList.lease.ProvesReady(openedAt) {
+		attempt.Endpoint.provedReadyAt = max(attempt.Endpoint.provedReadyAt, attempt.sentAt)
+	}
+}
+
+// DiscoveryResponseStarted takes in that a response of discovery has begun to arrive.
+func (lb *Balancer) DiscoveryResponseStarted(now monotonic.Time) {
+	lb.endpointList.lease.Suspect(now, discovery.PartialResponseLease)
+}
+
+// DiscoveryResponseBroken takes in that a response of discovery began and did not become complete.
+func (lb *Balancer) DiscoveryResponseBroken(now monotonic.Time) {
+	lb.endpointList.lease.Suspect(now, discovery.BrokenResponseLease)
+}
+
+// DiscoveryMoved takes in that discovery is called at another address from now on.
+func (lb *Balancer) DiscoveryMoved(now monotonic.Time) {
+	lb.endpointList.lease.Suspect(now, discovery.MovedLease)
+}
+
+// DiscoveryFailed takes in that a poll failed or a watch broke. The next poll comes after a backoff.
+func (lb *Balancer) DiscoveryFailed(now monotonic.Time) {
+	lb.endpointList.polling.Failed(&lb.random, now)
+}
+
+// UnansweredShareEstimated takes in which share of the gateways, as far as is known, polls discovery without an answer.
+func (lb *Balancer) UnansweredShareEstimated(share float64) {
+	lb.endpointList.polling.EstimateUnanswered(share)
+}
+
+// ProcessStalled takes in that this process stood still for a while. What arrived meanwhile waits to be read, drains and a
+// lower exposure cap among it, so no attempt starts for a moment. After a long stall the list has to be confirmed too, as
+// the call for it may have been given up with its answer unread.
+func (lb *Balancer) ProcessStalled(span time.Duration, now monotonic.Time) {
+	if span > harmlessStall {
+		lb.catchUpUntil = now + catchUpPause
+	}
+	if span > maxTrustedStall {
+		lb.endpointList.lease.Suspect(now, 0)
+	}
+}
+
+// trusted reports whether the list may be relied on for an endpoint.
+func (lb *Balancer) trusted(endpoint *Endpoint, now monotonic.Time) bool {
+	return lb.endpointList.lease.Trusted(endpoint.provedReadyAt, now)
+}
+
+// endpointListState is what is known of the endpoint list as a whole.
+type endpointListState struct {
+	lease        discovery.Lease
+	polling      discovery.Pacing
+	maxPower     float64 // the largest power that was ready at once, canary endpoints left out
+	maxEndpoints int     // the same in endpoints
+}
