--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -54,7 +54,7 @@
 	lb.inFlight++
 	endpoint.recentAttempts.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
 	if lb.isCanary(endpoint.build) {
-		lb.canaryAttempts(endpoint.build, request.opType).Add(now, lb.canary.window)
+		lb.canary.exposure.RecordAttempt(endpoint.build, request.opType.index, now)
 	}
 	// It may stay out as long as the client waits: what we stop waiting for may go on working unseen, and a
 	// limit that does not count it lets a jam feed itself. Silent machines are found out by rescue instead.
@@ -109,7 +109,7 @@
 	lb.updateHealth(attempt, outcome, result.Duration, now)
 	lb.recordEvidence(attempt, outcome, result.Duration, now)
 	if outcome == OutcomeSuccess {
-		lb.stick(request.key, attempt.build)
+		lb.bindKey(request.key, attempt.build)
 	}
 	if result.Settled || outcome == OutcomeSuccess {
 		request.completed = true
--- a/decision/config.go
+++ b/decision/config.go
@@ -8,7 +8,6 @@
 
 	"laurelring/decision/discovery"
 	"laurelring/decision/seeded"
-	"laurelring/decision/slidingwindow"
 )
 
 // Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
@@ -130,7 +129,7 @@
 			maxRetryAfter: config.Attempts.MaxRetryAfter,
 			crossZoneCost: config.Costs.CrossZone,
 		},
-		canary:    newCanaryState(config.Exposure),
+		canary:    newCanaryState(config.Exposure, len(config.OpTypes), max(config.Tick, time.Millisecond)),
 		slowStart: newSlowStartState(config.SlowStart),
 		rollout:   newRolloutState(config.Rollout, config.Costs, gateways),
 	}
@@ -175,21 +174,6 @@
 	}
 }
 
-func newCanaryState(config ExposureConfig) canaryState {
-	return canaryState{
-		window:          config.Window,
-		allowance:       config.Allowance,
-		perOpType:       config.PerOpType,
-		closedStages:    config.ClosedStages,
-		stickyKeys:      config.StickyKeys,
-		stageCaps:       config.StageCaps,
-		build:           -1,
-		attemptsByBuild: map[int][]slidingwindow.Window{},
-		stickyBuilds:    map[uint64]int{},
-		keyCounts:       map[uint64]int{},
-	}
-}
-
 func newSlowStartState(config SlowStartConfig) slowStartState {
 	return slowStartState{
 		initialCapacity:  config.InitialCapacity,
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -166,7 +166,8 @@
 	for _, endpoint := range lb.endpoints {
 		lb.retireEvidence(endpoint)
 	}
-	rollout.build, rollout.buildSeenAt, rollout.rollbackCase, lb.canary.stickyRequests = build, now, false, 0
+	rollout.build, rollout.buildSeenAt, rollout.rollbackCase = build, now, false
+	lb.canary.stickyKeys.CanaryStarted()
 	rollout.previousBusyTime, rollout.busyTime, rollout.costBaseline = [2]float64{}, [2]float64{}, nil
 	if rollout.joinedMidCanary, rollout.costBaselineAt = !rollout.statusReceived, 0; rollout.statusReceived { // we ran before the build was heard of
 		rollout.costBaseline = make([]uint32, lb.counterCount())
--- a/decision/request.go
+++ b/decision/request.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"laurelring/decision/monotonic"
-	"laurelring/decision/slidingwindow"
 )
 
 const (
@@ -32,14 +31,10 @@
 	if arrival.Tenant != nil && lb.overQuota(arrival.Tenant, now) {
 		request.priority *= overQuotaPriority
 	}
-	canary := &lb.canary
-	canary.arrivals.Add(now, canary.window)
-	op.arrivals.Add(now, canary.window)
+	lb.canary.exposure.RecordRequest(op.index, now)
 	lb.recordArrival(now)
 	lb.slowStart.arrivals.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
-	if canary.stickyKeys && arrival.Key != 0 {
-		lb.countKey(arrival.Key)
-	}
+	lb.canary.stickyKeys.RecordRequest(arrival.Key, lb.rollout.build)
 	return request
 }
 
@@ -184,8 +179,7 @@
 	dedupScope       DeduplicationScope
 	dedupWindow      time.Duration
 
-	meanLatency float64              // ns; smoothed time of answers
-	arrivals    slidingwindow.Window // commands taken, where exposure is counted by op type
+	meanLatency float64 // ns; smoothed duration of answered attempts
 }
 
 // Model is one kind of machine, with what the earlier builds' answers have taught.
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,7 +7,7 @@
 // candidates are the instances that may have this command; those in doubt only where no other may serve at
 // all, and now and then: a machine that fails fast is never full and would draw everything.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) (trial, others, doubtful []*Endpoint) {
-	full, pin := false, lb.mayStick(request)
+	full, pin := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
 	open, power := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
 		on := lb.isCanary(endpoint.build)
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -69,7 +69,7 @@
 	} else if rollout.ownCounters != nil && !deaf && rollout.costBaseline == nil {
 		lb.restartCostBaseline(now)
 	}
-	rollout.costComparable = rollout.costBaseline != nil && now-rollout.costBaselineAt >= max(voterReportTTL, canary.window) // a few deliveries come in bursts
+	rollout.costComparable = rollout.costBaseline != nil && now-rollout.costBaselineAt >= max(voterReportTTL, canary.exposure.Window()) // a few deliveries come in bursts
 	found := VerdictNone
 	// One vote of a few is enough where no more are required.
 	if rollout.ownCounters != nil && (voter || max(rollout.promoteVotes, rollout.rollbackVotes) > len(voters)) {
