--- a/decision/admission.go
+++ b/decision/admission.go
@@ -1,104 +1,94 @@
 package decision
 
 import (
-	"math"
-	"slices"
-	"sort"
 	"time"
 
-	"laurelring/decision/decay"
+	"laurelring/decision/admission"
 	"laurelring/decision/monotonic"
 )
 
 const (
-	minWindowCeiling     = 4.0              // deliveries out that any gateway may have while answers come in time
-	windowDecrease       = 0.5              // fewer for each slow answer
-	windowIncrease       = 0.1              // more for each other: a jam shows in more than one slow answer in six
-	windowFloorShare     = 0.05             // of the most: no fewer
-	windowFloor          = 0.4              // nor this
-	lateShare            = 0.7              // of the service target: a late answer
-	saturatedUtilization = 0.9              // a machine that is busier is full
-	arrivalRateSpan      = 10 * time.Second // over which the rate of our commands is smoothed
+	overQuotaPriority    = 0.01 // of its priority: what a request beyond its tenant's quota keeps
+	lateShare            = 0.7  // of the latency objective: an answer that took longer is late
+	saturatedUtilization = 0.9  // an endpoint that reports more is full
 )
 
-// overShare tells whether a tenant sends more than its share of what this gateway sees. A gateway cannot
-// know the others' traffic, so it compares shares of its own.
-func (lb *Balancer) overQuota(t *Tenant, now monotonic.Time) bool {
-	t.recentRequests = t.recentRequests*math.Exp(-float64(now-t.countedAt)/2e9) + 1
-	t.countedAt = now
-	var quotas, recent float64
-	for _, o := range lb.tenants {
-		quotas += o.quotaRate
-		recent += o.recentRequests * math.Exp(-float64(now-o.countedAt)/2e9)
-	}
-	return t.recentRequests > 10 && t.recentRequests/recent > 1.25*t.quotaRate/quotas
-}
+// Tenant is one customer of the deployment.
+type Tenant = admission.Tenant
 
-// flows bounds how many deliveries of ours are out at once, at all machines: no more than would take twice
-// the service target each at our commands' rate, fewer while machines that say they are full answer late;
-// below one, a pause follows each. Guards against a jam that hundreds of gateways feed, each with a few
-// deliveries to machines it holds next to nothing at. Ways or single machines that are slow do not count;
-// what is overdue does not either.
-func (lb *Balancer) withinConcurrencyWindow(request *Request, now monotonic.Time) bool {
-	usual := 2 * lb.requestRate(now) * float64(request.opType.latencyObjective) / float64(time.Second)
-	lb.concurrencyWindow = max(windowFloor, windowFloorShare*usual, min(lb.concurrencyWindow, max(minWindowCeiling, usual)))
-	if lb.inFlight > 0 || lb.concurrencyWindow >= 1 {
-		return float64(lb.inFlight+1) <= max(1, lb.concurrencyWindow)
-	}
-	return float64(now-lb.lastFinishedAt) >= request.opType.meanLatency*(1/lb.concurrencyWindow-1)
+// Arrival is a request that a client has sent.
+type Arrival struct {
+	OpType    *OpType
+	Tenant    *Tenant       // nil where the deployment has none
+	Key       uint64        // requests with the same key are related; 0 for none
+	Work      time.Duration // expected; 0 where it is not known
+	Remaining time.Duration // until the client gives up
 }
 
-// jams counts a late answer, or none, against how many may be out, where the machine says that it is full.
-func (lb *Balancer) adjustConcurrencyWindow(endpoint *Endpoint, late bool) {
-	if !late {
-		lb.concurrencyWindow += windowIncrease
-	} else if endpoint.utilization > saturatedUtilization || endpoint.utilizationAt == 0 {
-		lb.concurrencyWindow -= windowDecrease
+// Admit takes a request in: it gets its deadline, its latency objective and its priority. Route decides what becomes of it.
+func (lb *Balancer) Admit(arrival Arrival, now monotonic.Time) *Request {
+	op := arrival.OpType
+	request := &Request{opType: op, key: arrival.Key, deadline: now + arrival.Remaining}
+	objective := op.latencyObjective + time.Duration(op.objectiveStretch*float64(arrival.Work))
+	request.latencyDeadline = min(now+objective, request.deadline)
+	request.priority = op.priorityWeight / float64(max(op.latencyObjective, time.Millisecond))
+	if arrival.Tenant != nil && lb.admission.quotas.RecordRequest(arrival.Tenant, now) {
+		request.priority *= overQuotaPriority
 	}
+	lb.canary.exposure.RecordRequest(op.index, now)
+	lb.admission.arrivalRate.Record(now)
+	lb.slowStart.arrivals.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	lb.canary.stickyKeys.RecordRequest(arrival.Key, lb.rollout.build)
+	return request
 }
 
-// hold keeps a command for later; Wait brings it back: the most important first, and of those the newest,
-// since in a jam the oldest would all be served just too late.
+// QueueLength returns how many requests are queued.
+func (lb *Balancer) QueueLength() int { return lb.admission.queue.Len() }
+
+// enqueue keeps a request until Tick says that its turn has come.
 func (lb *Balancer) enqueue(request *Request) Decision {
 	if !request.queued {
 		request.queued = true
-		at := sort.Search(len(lb.queue), func(i int) bool { return lb.queue[i].priority <= request.priority })
-		lb.queue = slices.Insert(lb.queue, at, request)
+		lb.admission.queue.Add(request, request.priority)
 	}
 	return Decision{Action: ActionQueue}
 }
 
-// Waiting is how many commands are held.
-func (lb *Balancer) QueueLength() int { return len(lb.queue) }
-
 func (lb *Balancer) dequeue(request *Request) {
-	if !request.queued {
-		return
-	}
-	request.queued = false
-	for i, c := range lb.queue {
-		if c == request {
-			lb.queue = append(lb.queue[:i], lb.queue[i+1:]...)
-			return
-		}
+	if request.queued {
+		request.queued = false
+		lb.admission.queue.Remove(request)
 	}
 }
 
-// arrive books a command for the rate.
-func (lb *Balancer) recordArrival(now monotonic.Time) {
-	lb.arrivalRate = lb.arrivalRate*decay.Factor(lb.lastArrivalAt, now, arrivalRateSpan) + float64(time.Second)/float64(arrivalRateSpan)
-	lb.lastArrivalAt = now
+// withinConcurrencyWindow reports whether one more attempt may be in flight, at whichever endpoint.
+func (lb *Balancer) withinConcurrencyWindow(request *Request, now monotonic.Time) bool {
+	return lb.admission.window.Allows(admission.Demand{
+		RequestsPerSecond: lb.requestRate(now),
+		LatencyObjective:  request.opType.latencyObjective,
+		MeanLatency:       request.opType.meanLatency,
+	}, now)
+}
+
+// adjustConcurrencyWindow takes in whether an answer of an endpoint was late or missing. One of an endpoint that reports
+// room is the path's or the endpoint's own, and does not count.
+func (lb *Balancer) adjustConcurrencyWindow(endpoint *Endpoint, late bool) {
+	if !late {
+		lb.admission.window.Increase()
+	} else if endpoint.utilization > saturatedUtilization || endpoint.utilizationAt == 0 {
+		lb.admission.window.Decrease()
+	}
 }
 
-// rate is our commands a second, over the last seconds or since our start.
+// requestRate is this gateway's requests a second.
 func (lb *Balancer) requestRate(now monotonic.Time) float64 {
-	since := max(now-lb.startedAt, time.Millisecond)
-	return lb.arrivalRate * decay.Factor(lb.lastArrivalAt, now, arrivalRateSpan) / (1 - decay.Factor(0, since, arrivalRateSpan))
+	return lb.admission.arrivalRate.PerSecond(now)
 }
 
-// Tenant is one customer's share.
-type Tenant struct {
-	quotaRate      float64 // commands a second within its share, over all gateways
-	recentRequests float64 // its commands lately, decaying
-	countedAt      monotonic.Time
+// admissionState is what decides which requests go first and how many attempts are in flight.
+type admissionState struct {
+	queue       admission.Queue[*Request]
+	quotas      admission.Quotas
+	arrivalRate admission.ArrivalRate
+	window      admission.ConcurrencyWindow
 }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -51,7 +51,7 @@
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
 	endpoint.inFlight, endpoint.lastAttemptAt = append(endpoint.inFlight, attempt), now
-	lb.inFlight++
+	lb.admission.window.AttemptStarted()
 	endpoint.recentAttempts.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
 	if lb.isCanary(endpoint.build) {
 		lb.canary.exposure.RecordAttempt(endpoint.build, request.opType.index, now)
@@ -99,8 +99,9 @@
 	}
 	attempt.done = true
 	request.inFlight--
-	if lb.lastFinishedAt = now; !attempt.endpointSilent {
-		lb.inFlight--
+	lb.admission.window.AttemptFinished(now)
+	if !attempt.endpointSilent {
+		lb.admission.window.AttemptAbandoned()
 	}
 	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(o *Attempt) bool { return o == attempt })
 	if outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
@@ -127,16 +128,17 @@
 	until := now + 10*time.Second
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
+		lb.admission.arrivalRate.Start(lb.startedAt)
 		lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval) // gateways take turns at the voters
 		lb.endpointList.polling.Start(lb.gateways, &lb.random, now)
 	}
-	for i, request := range lb.queue {
+	for i, request := range lb.admission.queue.All {
 		// The head of the queue, and whoever's time is about to run out.
 		if i < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+4*lb.tick {
 			due.Requests = append(due.Requests, request)
 		}
 	}
-	if len(lb.queue) > 0 {
+	if lb.QueueLength() > 0 {
 		until = now + 2*lb.tick
 	}
 	poll, nextPollAt := lb.endpointList.polling.Poll(now)
@@ -178,19 +180,13 @@
 	startedAt           monotonic.Time // when it was first asked
 	endpoints           []*Endpoint
 	opTypes             []*OpType
-	tenants             []*Tenant
 	machineTypes        []*MachineType
-	queue               []*Request
-	arrivalRate         float64 // our commands a second, smoothed
-	lastArrivalAt       monotonic.Time
-	inFlight            int            // our deliveries that are out
-	concurrencyWindow   float64        // how many may be
-	lastFinishedAt      monotonic.Time // when one last ended
-	meanRelativeLatency float64        // smoothed time of answers against the op types' means, of all kinds of machine
-	zoneHealth          []zoneHealth   // by zone
-	connectFailureRate  float64        // smoothed share of our deliveries that found no connection
-	verifiedBuilds      map[int]bool   // builds that are what was signed; nil where any is taken
+	meanRelativeLatency float64      // smoothed time of answers against the op types' means, of all kinds of machine
+	zoneHealth          []zoneHealth // by zone
+	connectFailureRate  float64      // smoothed share of our deliveries that found no connection
+	verifiedBuilds      map[int]bool // builds that are what was signed; nil where any is taken
 	attemptLimits       attemptLimits
+	admission           admissionState
 	// No delivery goes out until then: the gateway has stood still.
 	catchUpUntil monotonic.Time
 	canary       canaryState
--- a/decision/config.go
+++ b/decision/config.go
@@ -6,6 +6,7 @@
 	"math"
 	"time"
 
+	"laurelring/decision/admission"
 	"laurelring/decision/discovery"
 	"laurelring/decision/seeded"
 )
@@ -122,7 +123,7 @@
 		zone:                config.Zone,
 		tick:                max(config.Tick, time.Millisecond),
 		meanRelativeLatency: 1,
-		concurrencyWindow:   math.Inf(1),
+		admission:           admissionState{window: admission.NewConcurrencyWindow()},
 		attemptLimits: attemptLimits{
 			maxAttempts:   config.Attempts.Max,
 			mayCancel:     config.Attempts.MayCancel,
@@ -140,7 +141,7 @@
 		lb.opTypes = append(lb.opTypes, newOpType(len(lb.opTypes), opType))
 	}
 	for _, tenant := range config.Tenants {
-		lb.tenants = append(lb.tenants, &Tenant{quotaRate: tenant.QuotaRate})
+		lb.admission.quotas.Add(tenant.QuotaRate)
 	}
 	return lb, nil
 }
@@ -148,8 +149,8 @@
 // OpTypes gives the op types in the order of the configuration.
 func (lb *Balancer) OpTypes() []*OpType { return lb.opTypes }
 
-// Tenants gives the tenants in the order of the configuration.
-func (lb *Balancer) Tenants() []*Tenant { return lb.tenants }
+// Tenants returns the tenants in the order of the configuration.
+func (lb *Balancer) Tenants() []*Tenant { return lb.admission.quotas.Tenants() }
 
 // attemptLimits is what this deployment permits of attempts.
 type attemptLimits struct {
--- a/decision/health.go
+++ b/decision/health.go
@@ -167,7 +167,7 @@
 		}
 		if !attempt.endpointSilent {
 			attempt.endpointSilent = true
-			lb.inFlight--
+			lb.admission.window.AttemptAbandoned()
 		}
 		again := request.opType.safeToRepeat() && (request.opType.idempotency == Idempotent || now+lb.tick < attempt.sentAt+request.opType.dedupWindow)
 		if again && lb.attemptLimits.mayCancel && !attempt.canceled && !request.completed && len(request.attempts) < lb.attemptLimits.maxAttempts &&
--- a/decision/request.go
+++ b/decision/request.go
@@ -8,40 +8,13 @@
 
 const (
 	initialMeanLatencyShare = 0.25 // of the service target: taken for a mean time before there is one
-	overQuotaPriority       = 0.01 // of its priority: what a request beyond its tenant's quota keeps
 	lateValueThreshold      = 0.5  // of a command's importance: a late answer worth less gives way to commands that wait
 )
 
-// Arrival is a request that a client has sent.
-type Arrival struct {
-	OpType    *OpType
-	Tenant    *Tenant       // nil where the deployment has none
-	Key       uint64        // requests with the same key are related; 0 for none
-	Work      time.Duration // expected; 0 where it is not known
-	Remaining time.Duration // until the client gives up
-}
-
-// Admit takes a request in: it gets its deadline, its latency objective and its priority. Route decides what becomes of it.
-func (lb *Balancer) Admit(arrival Arrival, now monotonic.Time) *Request {
-	op := arrival.OpType
-	request := &Request{opType: op, key: arrival.Key, deadline: now + arrival.Remaining}
-	objective := op.latencyObjective + time.Duration(op.objectiveStretch*float64(arrival.Work))
-	request.latencyDeadline = min(now+objective, request.deadline)
-	request.priority = op.priorityWeight / float64(max(op.latencyObjective, time.Millisecond))
-	if arrival.Tenant != nil && lb.overQuota(arrival.Tenant, now) {
-		request.priority *= overQuotaPriority
-	}
-	lb.canary.exposure.RecordRequest(op.index, now)
-	lb.recordArrival(now)
-	lb.slowStart.arrivals.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
-	lb.canary.stickyKeys.RecordRequest(arrival.Key, lb.rollout.build)
-	return request
-}
-
 // bound is the moment after which an answer is not worth its work: the service target where a late one
 // earns nothing, or little while others wait for room; else the client's patience.
 func (lb *Balancer) worthwhileUntil(request *Request) time.Duration {
-	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && len(lb.queue) > 0 {
+	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && lb.QueueLength() > 0 {
 		return request.latencyDeadline
 	}
 	return request.deadline
@@ -66,7 +39,7 @@
 		}
 	}
 	after := time.Duration(request.opType.meanLatency)
-	if len(lb.queue) > 0 {
+	if lb.QueueLength() > 0 {
 		after = lb.attemptLimits.maxRetryAfter // others wait already
 	}
 	return Decision{Action: ActionReject, Reason: why, RetryAfter: min(lb.attemptLimits.maxRetryAfter, after)}
