--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -43,7 +43,7 @@
 	// The deliveries that one crash breaks are one failure, not many, and one among all gateways: by lot.
 	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.connectionsLostAt {
 		attempt.Endpoint.connectionsLostAt = attempt.sentAt + took
-		if lb.draw(lb.gateways) == 0 {
+		if lb.random.Below(lb.gateways) == 0 {
 			c[1]++
 		}
 	}
@@ -166,7 +166,8 @@
 	for _, endpoint := range lb.endpoints {
 		lb.retireEvidence(endpoint)
 	}
-	rollout.build, rollout.buildSeenAt, rollout.rollbackCase, lb.canary.stickyRequests = build, now, false, 0
+	rollout.build, rollout.buildSeenAt, rollout.rollbackCase = build, now, false
+	lb.canary.stickyKeys.CanaryStarted()
 	rollout.previousBusyTime, rollout.busyTime, rollout.costBaseline = [2]float64{}, [2]float64{}, nil
 	if rollout.joinedMidCanary, rollout.costBaselineAt = !rollout.statusReceived, 0; rollout.statusReceived { // we ran before the build was heard of
 		rollout.costBaseline = make([]uint32, lb.counterCount())
