--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -107,18 +107,18 @@
 
 	begun := time.Now()
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
-	budget := transport.NewBudget(descriptors)
-	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
-	instances := transport.NewInstances(budget, complaints, connectWithin, idleFor/2)
+	budget := transport.NewDescriptorBudget(descriptors)
+	complaints, lots := &transport.RateLimitedLog{}, seededrand.New(seed)
+	instances := transport.NewEndpointPool(budget, complaints, connectWithin, idleFor/2)
 	post := func(int, []byte) {}
 	var r *routing.Router
-	var peers *transport.Peers
+	var peers *transport.PeerSocket
 	if peersAt != "" {
-		if peers, err = transport.NewPeers(peersAt, each, all); err != nil {
+		if peers, err = transport.NewPeerSocket(peersAt, each, all); err != nil {
 			return err
 		}
 		defer peers.Close()
-		post = peers.Post
+		post = peers.Send
 	}
 	var build func(int)
 	var agent *tuf.Agent
@@ -140,20 +140,20 @@
 			build = agent.Build
 		}
 	}
-	var discovery *transport.Discovery
-	var desk *transport.Desk
+	var discovery *transport.DiscoveryClient
+	var desk *transport.RolloutClient
 	r = routing.New(gateway, busy, clock, routing.Outside{
 		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
 			ended func(protocol.Response)) routing.Delivery {
 			return instances.Send(address, until, encode, ended)
 		},
-		Drop:  instances.Drop,
+		Drop:  instances.CloseIdleTo,
 		Post:  post,
 		Vote:  func(v decision.Vote) { desk.Vote(v) },
-		Watch: func() { discovery.Watch(ctx) },
+		Watch: func() { discovery.StartWatch(ctx) },
 		Build: build,
 	})
-	desk = transport.NewDesk(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
+	desk = transport.NewRolloutClient(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
 		if why == nil {
 			log.Info("the platform is heard", "address", address)
 		} else {
@@ -169,7 +169,7 @@
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.News(status)
-	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
+	discovery = transport.NewDiscoveryClient(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
 		list, err := protocol.ReadList(text, zones, models)
 		if err != nil {
 			return 0, err
@@ -181,10 +181,10 @@
 		return err
 	}
 	defer ln.Close()
-	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
-		func(request protocol.Request, to *transport.Answer) {
+	front := transport.NewClientServer(budget, complaints, int64(handShare*float64(memory)), longest, named,
+		func(request protocol.Request, to *transport.PendingResponse) {
 			r.Command(request, to)
-		}, func(to *transport.Answer) { r.Gone(to) })
+		}, func(to *transport.PendingResponse) { r.Gone(to) })
 	go r.Run(ctx)
 	if _, err := r.Listed(startList, true, false); err != nil {
 		return err
@@ -196,7 +196,7 @@
 		defer func() { stop(); <-background }()
 	}
 	if !mustAsk {
-		go discovery.Keep(ctx)
+		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
 		go peers.Run(r.Heard, complaints)
@@ -214,10 +214,10 @@
 				log.Error("the configuration stays as it was", "cause", err)
 			} else {
 				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
-				if discovery.Move(listAt) {
+				if discovery.SetAddress(listAt) {
 					r.ListMoved()
 				}
-				desk.Move(votesAt)
+				desk.SetAddress(votesAt)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -235,7 +235,7 @@
 			go func() {
 				time.Sleep(servesOn)
 				front.Drain()
-				rested <- front.Rest(answered + 2*killMargin)
+				rested <- front.AwaitDisconnects(answered + 2*killMargin)
 			}()
 		case n := <-rested:
 			if n > 0 {
--- a/internal/transport/front.go
+++ b/internal/transport/client_server.go
@@ -33,37 +33,37 @@
 	sweepEvery = 50 * time.Millisecond
 )
 
-// Front takes commands from clients and brings them their answers.
-type Front struct {
-	share      *Share
-	complaints *Complaints
+// ClientServer takes commands from clients and brings them their answers.
+type ClientServer struct {
+	share      *descriptorQuota
+	complaints *RateLimitedLog
 	room       *semaphore.Weighted         // bytes of commands in hand
 	longest    time.Duration               // a client waits
 	beyond     chan struct{}               // holds one for each client beyond the limit
 	manyQuiet  int                         // connections that have brought a command and may stand quiet
 	ops        map[string]*decision.OpType // by the words that ask for them
-	take       func(request protocol.Request, to *Answer)
-	gone       func(to *Answer)
+	take       func(request protocol.Request, to *PendingResponse)
+	gone       func(to *PendingResponse)
 
 	mu      sync.Mutex
 	clients []*client // the longest quiet first
 	closing bool
 }
 
-// NewFront takes how many bytes of commands may be in hand, the longest time for which a client is taken to
+// NewClientServer takes how many bytes of commands may be in hand, the longest time for which a client is taken to
 // wait, the op types by the words that ask for them, and whom to tell of a command and of a client that left
 // before its answer.
-func NewFront(budget *Budget, complaints *Complaints, room int64, longest time.Duration, ops map[string]*decision.OpType,
-	take func(request protocol.Request, to *Answer),
-	gone func(to *Answer)) *Front {
-	f := &Front{complaints: complaints, room: semaphore.NewWeighted(room), longest: longest,
+func NewClientServer(budget *DescriptorBudget, complaints *RateLimitedLog, room int64, longest time.Duration, ops map[string]*decision.OpType,
+	take func(request protocol.Request, to *PendingResponse),
+	gone func(to *PendingResponse)) *ClientServer {
+	f := &ClientServer{complaints: complaints, room: semaphore.NewWeighted(room), longest: longest,
 		beyond: make(chan struct{}, beyondMost), ops: ops, take: take, gone: gone}
 	f.share, f.manyQuiet = budget.join(f, clientsPart), int(quietPart*float64(budget.most))
 	return f
 }
 
 // Serve accepts connections until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *ClientServer) Serve(ln net.Listener) error {
 	sweep, done := time.NewTicker(sweepEvery), make(chan struct{})
 	defer sweep.Stop()
 	defer close(done)
@@ -81,7 +81,7 @@
 }
 
 // endMany ends the longest quiet of the connections that have brought a command, where there are too many.
-func (f *Front) endMany() {
+func (f *ClientServer) endMany() {
 	all := slices.DeleteFunc(f.all(), func(c *client) bool { return !c.hasBrought() })
 	for _, c := range all[:max(0, len(all)-f.manyQuiet)] {
 		c.endQuiet(newWithin, true, false)
@@ -91,7 +91,7 @@
 // door is the listener that redcon accepts from: its connections count against the budget.
 type door struct {
 	net.Listener
-	front *Front
+	front *ClientServer
 }
 
 // Accept waits for a client. One for which there is no descriptor is taken beyond the limit, so that its
@@ -129,7 +129,7 @@
 }
 
 // goBeyond finds a place beyond the limit; where none is left a quiet client there has to go.
-func (f *Front) goBeyond(c *client) {
+func (f *ClientServer) goBeyond(c *client) {
 	c.release = func() { <-f.beyond }
 	select {
 	case f.beyond <- struct{}{}:
@@ -158,7 +158,7 @@
 // client is one connection of a client. It ends in Close, which alone gives its place back.
 type client struct {
 	net.Conn
-	front    *Front
+	front    *ClientServer
 	buffer   *protocol.Buffer
 	commands protocol.Commands
 	greeted  bool      // redcon has been handed what it passes the connection on for
@@ -384,7 +384,7 @@
 
 // begin takes a connection over from redcon, so that a client that leaves is seen while its command is in
 // hand, and a listener that closes takes no connection along.
-func (f *Front) begin(conn redcon.Conn, _ redcon.Command) {
+func (f *ClientServer) begin(conn redcon.Conn, _ redcon.Command) {
 	c := conn.NetConn().(*client)
 	conn.Detach()
 	go newSession(c).read()
@@ -392,7 +392,7 @@
 
 // Drain closes the connections of clients as each has no command in hand. New ones are served all the same:
 // a client sends again what crossed the end of its connection.
-func (f *Front) Drain() {
+func (f *ClientServer) Drain() {
 	f.mu.Lock()
 	f.closing = true
 	f.mu.Unlock()
@@ -404,21 +404,21 @@
 }
 
 // all gives the connections, the longest quiet first.
-func (f *Front) all() []*client {
+func (f *ClientServer) all() []*client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.clients)
 }
 
-func (f *Front) isClosing() bool {
+func (f *ClientServer) isClosing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.closing
 }
 
-// Rest waits until every client's connection has ended and none has come for a while, but no longer than so
+// AwaitDisconnects waits until every client's connection has ended and none has come for a while, but no longer than so
 // long, and tells how many are left.
-func (f *Front) Rest(within time.Duration) int {
+func (f *ClientServer) AwaitDisconnects(within time.Duration) int {
 	begun := time.Now()
 	for last := begun; ; time.Sleep(acceptAgain) {
 		f.mu.Lock()
@@ -434,14 +434,14 @@
 }
 
 // closeIdle closes a connection that has brought nothing, or else the one that has been quiet for longest.
-func (f *Front) closeIdle() bool {
+func (f *ClientServer) closeIdle() bool {
 	all := f.all()
 	return slices.ContainsFunc(all, (*client).endNew) ||
 		slices.ContainsFunc(all, func(c *client) bool { return c.endQuiet(newWithin, true, false) })
 }
 
 // crowded tells whether some have brought nothing yet: they will make room soon, by a command or their end.
-func (f *Front) crowded() bool {
+func (f *ClientServer) crowded() bool {
 	return slices.ContainsFunc(f.all(), func(c *client) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/transport/session.go
+++ b/internal/transport/client_session.go
@@ -23,20 +23,20 @@
 // the first command on, brings the answers in the order of the commands.
 type session struct {
 	client  *client
-	answers chan *Answer
+	answers chan *PendingResponse
 	left    chan struct{} // closed when the client has left
 	cut     chan struct{} // closed when no more answers go out
 }
 
-// Answer is the place of a command's final answer.
-type Answer struct {
+// PendingResponse is the place of a command's final answer.
+type PendingResponse struct {
 	once sync.Once
 	done chan struct{}
 	text net.Buffers
 	size int64 // of its command
 }
 
-func (a *Answer) end(parts ...[]byte) {
+func (a *PendingResponse) end(parts ...[]byte) {
 	a.once.Do(func() {
 		a.text = parts
 		close(a.done)
@@ -44,22 +44,26 @@
 }
 
 // Acked gives the value that an instance gave.
-func (a *Answer) Acked(value []byte) { a.end(protocol.BulkHead(len(value)), value, protocol.End) }
+func (a *PendingResponse) Acked(value []byte) {
+	a.end(protocol.BulkHead(len(value)), value, protocol.End)
+}
 
 // Nacked tells that trying again is harmless, and when to, if there is such a time.
-func (a *Answer) Nacked(after time.Duration) { a.end(redcon.AppendError(nil, protocol.Refused(after))) }
+func (a *PendingResponse) Nacked(after time.Duration) {
+	a.end(redcon.AppendError(nil, protocol.Refused(after)))
+}
 
 // Failed promises nothing.
-func (a *Answer) Failed() { a.end(redcon.AppendError(nil, protocol.Failed)) }
+func (a *PendingResponse) Failed() { a.end(redcon.AppendError(nil, protocol.Failed)) }
 
 // refuse answers what cannot be taken as a command.
-func (f *Front) refuse(a *Answer, why string) {
+func (f *ClientServer) refuse(a *PendingResponse, why string) {
 	a.end(redcon.AppendError(nil, "ERR "+why))
-	f.complaints.Complain("a client sent what cannot be taken", "cause", why)
+	f.complaints.Warn("a client sent what cannot be taken", "cause", why)
 }
 
 func newSession(c *client) *session {
-	return &session{client: c, answers: make(chan *Answer, inHandMost), left: make(chan struct{}),
+	return &session{client: c, answers: make(chan *PendingResponse, inHandMost), left: make(chan struct{}),
 		cut: make(chan struct{})}
 }
 
@@ -68,7 +72,7 @@
 // the answers that it is owed, and its end.
 func (s *session) read() {
 	c, f := s.client, s.client.front
-	var inHand []*Answer
+	var inHand []*PendingResponse
 	writing := false
 	for !c.lost {
 		cmd, fault, err := c.next()
@@ -79,10 +83,10 @@
 			writing = true
 			go s.write()
 		}
-		if inHand = slices.DeleteFunc(inHand, (*Answer).isDone); len(inHand) >= inHandMost {
+		if inHand = slices.DeleteFunc(inHand, (*PendingResponse).isDone); len(inHand) >= inHandMost {
 			c.lost, fault = true, "too many commands at once"
 		}
-		a := &Answer{done: make(chan struct{}), size: int64(len(cmd.Raw))}
+		a := &PendingResponse{done: make(chan struct{}), size: int64(len(cmd.Raw))}
 		f.room.Acquire(context.Background(), a.size) // others' answers make room
 		select {
 		case s.answers <- a:
@@ -114,7 +118,7 @@
 	}
 }
 
-func (a *Answer) isDone() bool {
+func (a *PendingResponse) isDone() bool {
 	select {
 	case <-a.done:
 		return true
@@ -125,7 +129,7 @@
 
 // command takes one command in, or tells why it cannot. One for which there is no room has no time left: it
 // gets its final answer.
-func (f *Front) command(cmd redcon.Command, a *Answer, room bool) (fault string) {
+func (f *ClientServer) command(cmd redcon.Command, a *PendingResponse, room bool) (fault string) {
 	switch string(cmd.Args[0]) {
 	case "API.READ", "API.WRITE":
 		request, err := protocol.ParseRequest(cmd.Args, f.ops)
@@ -165,7 +169,7 @@
 }
 
 // bring waits for an answer and writes it; it tells whether the client took it.
-func (s *session) bring(a *Answer) bool {
+func (s *session) bring(a *PendingResponse) bool {
 	select {
 	case <-a.done:
 	case <-s.left:
--- a/internal/transport/budget.go
+++ b/internal/transport/descriptor_budget.go
@@ -6,25 +6,25 @@
 	"sync"
 )
 
-// Budget owns the gateway's descriptors. What discovery, the platform, peers and the runtime need is kept
+// DescriptorBudget owns the gateway's descriptors. What discovery, the platform, peers and the runtime need is kept
 // back from the start; clients and instances share the rest, each up to its part, and at the limit idle
 // connections go first: those of the side that asks, then the other's, so that neither side starves the other.
-type Budget struct {
+type DescriptorBudget struct {
 	mu     sync.Mutex
 	most   int
 	left   int
-	shares []*Share
+	shares []*descriptorQuota
 }
 
-// Side holds connections of one kind.
-type Side interface {
+// idleCloser holds connections of one kind.
+type idleCloser interface {
 	closeIdle() bool // closes the connection that has been idle for longest, if there is one
 }
 
-// Share is what one side may hold of a budget.
-type Share struct {
-	budget *Budget
-	side   Side
+// descriptorQuota is what one side may hold of a budget.
+type descriptorQuota struct {
+	budget *DescriptorBudget
+	side   idleCloser
 	most   int
 	held   int
 }
@@ -39,21 +39,21 @@
 	instancesPart = 1.0
 )
 
-// NewBudget takes the number of descriptors that the gateway may hold.
-func NewBudget(most int) *Budget {
+// NewDescriptorBudget takes the number of descriptors that the gateway may hold.
+func NewDescriptorBudget(most int) *DescriptorBudget {
 	most = max(most-reserve, 2)
-	return &Budget{most: most, left: most}
+	return &DescriptorBudget{most: most, left: most}
 }
 
 // join adds a side, before any descriptor is taken.
-func (b *Budget) join(side Side, part float64) *Share {
-	s := &Share{budget: b, side: side, most: max(1, int(part*float64(b.most)))}
+func (b *DescriptorBudget) join(side idleCloser, part float64) *descriptorQuota {
+	s := &descriptorQuota{budget: b, side: side, most: max(1, int(part*float64(b.most)))}
 	b.shares = append(b.shares, s)
 	return s
 }
 
 // take takes a descriptor, closing an idle connection if it must.
-func (s *Share) take() bool {
+func (s *descriptorQuota) take() bool {
 	if s.free() || s.side.closeIdle() && s.free() {
 		return true
 	}
@@ -65,14 +65,14 @@
 	return false
 }
 
-func (s *Share) within() bool {
+func (s *descriptorQuota) within() bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return s.held < s.most
 }
 
 // free takes a descriptor if one is left.
-func (s *Share) free() bool {
+func (s *descriptorQuota) free() bool {
 	b := s.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 }
 
 // give gives a descriptor back.
-func (s *Share) give() {
+func (s *descriptorQuota) give() {
 	b := s.budget
 	b.mu.Lock()
 	b.left++
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery_client.go
@@ -15,8 +15,8 @@
 	"laurelring/internal/seededrand"
 )
 
-// Discovery watches the list of instances.
-type Discovery struct {
+// DiscoveryClient watches the list of instances.
+type DiscoveryClient struct {
 	client   *http.Client
 	wait     time.Duration
 	begun    func()
@@ -45,20 +45,20 @@
 	keepAgain  = 400 * time.Millisecond // after a failed call, and up to half as much less or more by lot: what a local agent has counts as told at once
 )
 
-// NewDiscovery takes the address, how long the list may go unasked, the revision that is known, and whom
+// NewDiscoveryClient takes the address, how long the list may go unasked, the revision that is known, and whom
 // to tell of a list that begins to come, of an answer, which gives its revision, or of a failure.
-func NewDiscovery(address string, wait time.Duration, revision int64, begun func(),
-	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Chance) *Discovery {
+func NewDiscoveryClient(address string, wait time.Duration, revision int64, begun func(),
+	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Chance) *DiscoveryClient {
 	wait = min(wait, waitMost)
-	return &Discovery{address: address, wait: wait, begun: begun, told: told, failed: failed, revision: revision, leave: func() {},
+	return &DiscoveryClient{address: address, wait: wait, begun: begun, told: told, failed: failed, revision: revision, leave: func() {},
 		chance: chance,
 		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true},
 			Timeout: wait + graceAfterWait}}
 }
 
-// Watch asks for the changes from here on, unless a watch stands. It does not wait; a watch ends when a call
+// StartWatch asks for the changes from here on, unless a watch stands. It does not wait; a watch ends when a call
 // of it fails, which is told.
-func (d *Discovery) Watch(ctx context.Context) {
+func (d *DiscoveryClient) StartWatch(ctx context.Context) {
 	if !d.watching.CompareAndSwap(false, true) {
 		return
 	}
@@ -71,8 +71,8 @@
 	}()
 }
 
-// Keep watches for as long as the context stands, where gateways need not ask for themselves.
-func (d *Discovery) Keep(ctx context.Context) {
+// KeepWatching watches for as long as the context stands, where gateways need not ask for themselves.
+func (d *DiscoveryClient) KeepWatching(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.failed(d.watch(ctx))
 		select {
@@ -82,9 +82,9 @@
 	}
 }
 
-// Move has the watch go on at another address, at once: the present call ends unanswered. It tells whether the address
+// SetAddress has the watch go on at another address, at once: the present call ends unanswered. It tells whether the address
 // is another.
-func (d *Discovery) Move(address string) bool {
+func (d *DiscoveryClient) SetAddress(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.address == address {
@@ -97,7 +97,7 @@
 
 // watch calls again and again, each time as soon as the answer is told, until a call fails where the list
 // still is.
-func (d *Discovery) watch(ctx context.Context) error {
+func (d *DiscoveryClient) watch(ctx context.Context) error {
 	defer d.client.CloseIdleConnections()
 	first := true
 	for {
@@ -127,7 +127,7 @@
 // up soon: the connection may stand for ever. One that goes on slowly, to a gateway short of processor time say,
 // is read until the call's whole time is over. To leave a call that has ended does nothing. It tells whether a list
 // had begun to come that was not taken in.
-func (d *Discovery) call(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
+func (d *DiscoveryClient) call(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
 	var answering atomic.Bool
 	wait := d.wait - d.chance.Time(d.wait/waitLot)
 	stalled := time.AfterFunc(wait+graceAfterWait, leave)
--- a/internal/transport/instances.go
+++ b/internal/transport/endpoint_pool.go
@@ -16,11 +16,11 @@
 	"laurelring/internal/protocol"
 )
 
-// Instances carries deliveries to instances. A connection has one delivery in work at a time, so that no
+// EndpointPool carries deliveries to instances. A connection has one delivery in work at a time, so that no
 // answer waits behind another and giving up costs no other delivery.
-type Instances struct {
-	share         *Share
-	complaints    *Complaints
+type EndpointPool struct {
+	share         *descriptorQuota
+	complaints    *RateLimitedLog
 	connectWithin time.Duration
 	idleFor       time.Duration
 
@@ -33,23 +33,23 @@
 // answer comes right behind it, and would be taken for the answer to the next command.
 const restFor = 20 * time.Millisecond
 
-// NewInstances takes how long a connection may take to come up and how long it may stand idle.
-func NewInstances(budget *Budget, complaints *Complaints, connectWithin, idleFor time.Duration) *Instances {
-	in := &Instances{complaints: complaints, connectWithin: connectWithin, idleFor: idleFor, idle: map[string][]*link{}}
+// NewEndpointPool takes how long a connection may take to come up and how long it may stand idle.
+func NewEndpointPool(budget *DescriptorBudget, complaints *RateLimitedLog, connectWithin, idleFor time.Duration) *EndpointPool {
+	in := &EndpointPool{complaints: complaints, connectWithin: connectWithin, idleFor: idleFor, idle: map[string][]*link{}}
 	in.share = budget.join(in, instancesPart)
 	return in
 }
 
 // link is one connection to an instance. It ends in close, which alone gives its descriptor back.
 type link struct {
-	in       *Instances
+	in       *EndpointPool
 	address  string
 	openedAt time.Time
 	conn     *net.TCPConn
 	raw      syscall.RawConn
 
 	mu      sync.Mutex // held while bytes are read too: what came before a delivery began is none of its answer
-	work    *Sending
+	work    *Attempt
 	writing bool
 	closed  bool
 	spent   bool      // its end or more than an answer was read: nothing may begin on it
@@ -60,8 +60,8 @@
 // what it was decided by is then of another time, as where the process stood still meanwhile.
 const heldUp = 250 * time.Millisecond
 
-// Sending is a delivery on its way. It ends once, by what comes back or by GiveUp.
-type Sending struct {
+// Attempt is a delivery on its way. It ends once, by what comes back or by GiveUp.
+type Attempt struct {
 	since  time.Time
 	until  time.Time
 	encode func(wait time.Duration) []byte
@@ -75,9 +75,9 @@
 
 // Send starts a delivery, for which the gateway waits until the given time. What comes of it is told to
 // ended, on another goroutine, unless it was given up before.
-func (in *Instances) Send(address string, until time.Time, encode func(wait time.Duration) []byte,
-	ended func(protocol.Response)) *Sending {
-	s := newSending(until, encode, ended)
+func (in *EndpointPool) Send(address string, until time.Time, encode func(wait time.Duration) []byte,
+	ended func(protocol.Response)) *Attempt {
+	s := newAttempt(until, encode, ended)
 	if l := in.takeIdle(address); l != nil {
 		go l.write(s, true)
 	} else {
@@ -86,17 +86,17 @@
 	return s
 }
 
-// newSending is a delivery that is decided now.
-func newSending(until time.Time, encode func(wait time.Duration) []byte,
-	ended func(protocol.Response)) *Sending {
-	return &Sending{since: time.Now(), until: until, encode: encode, ended: ended}
+// newAttempt is a delivery that is decided now.
+func newAttempt(until time.Time, encode func(wait time.Duration) []byte,
+	ended func(protocol.Response)) *Attempt {
+	return &Attempt{since: time.Now(), until: until, encode: encode, ended: ended}
 }
 
 // GiveUp ends a delivery without an outcome and closes its connection before it returns: what is sent
 // elsewhere after it is no second copy. It tells whether the delivery may have reached the instance, and
 // whether it had ended before: then its outcome is on its way. The connection of one that had not begun serves
 // another.
-func (s *Sending) GiveUp() (reached, ended bool) {
+func (s *Attempt) GiveUp() (reached, ended bool) {
 	s.mu.Lock()
 	l, begun, was := s.on, s.begun, s.over
 	s.over = true
@@ -108,7 +108,7 @@
 }
 
 // Withhold gives a delivery up if nothing of it has gone out, and tells whether it did.
-func (s *Sending) Withhold() bool {
+func (s *Attempt) Withhold() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.begun || s.over {
@@ -119,7 +119,7 @@
 }
 
 // ConnectionAge is for how long the connection has stood that the delivery went out on; 0 before it did.
-func (s *Sending) ConnectionAge() time.Duration {
+func (s *Attempt) ConnectionAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.on == nil {
@@ -129,14 +129,14 @@
 }
 
 // end tells the outcome, unless one was told or the delivery was given up.
-func (s *Sending) end(outcome decision.Outcome) {
+func (s *Attempt) end(outcome decision.Outcome) {
 	if s.settle() {
 		s.ended(protocol.Response{Outcome: outcome})
 	}
 }
 
 // settle marks the delivery as over and tells whether it was not.
-func (s *Sending) settle() bool {
+func (s *Attempt) settle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.over
@@ -145,7 +145,7 @@
 }
 
 // begin marks that bytes go out on a connection from here on, unless the delivery was given up meanwhile.
-func (s *Sending) begin(on *link) bool {
+func (s *Attempt) begin(on *link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.begun, s.on = !s.over, on
@@ -153,7 +153,7 @@
 }
 
 // open brings a connection up for a delivery.
-func (in *Instances) open(address string, s *Sending) {
+func (in *EndpointPool) open(address string, s *Attempt) {
 	if !in.share.take() {
 		s.end(decision.OutcomeNotSent)
 		return
@@ -177,7 +177,7 @@
 // write sends a delivery's bytes. Until the last of them is written the command can't have run. A used
 // connection that has ended meanwhile, or on which anything has come since its last answer, is replaced, as
 // long as nothing was written.
-func (l *link) write(s *Sending, used bool) {
+func (l *link) write(s *Attempt, used bool) {
 	l.mu.Lock()
 	closed := l.closed || l.spent || used && !l.silent()
 	if !closed {
@@ -244,7 +244,7 @@
 }
 
 // again opens a new connection for a delivery of which nothing was written on a used one.
-func (l *link) again(s *Sending, used bool) {
+func (l *link) again(s *Attempt, used bool) {
 	s.mu.Lock()
 	s.begun, s.on = false, nil
 	over := s.over
@@ -285,7 +285,7 @@
 
 // receive waits for bytes and reads them, with the delivery that was in work then: a late second answer must
 // not be taken for the answer to a delivery that begins as it is read.
-func (l *link) receive(room []byte) (n int, s *Sending, err error) {
+func (l *link) receive(room []byte) (n int, s *Attempt, err error) {
 	failed := l.raw.Read(func(fd uintptr) bool {
 		l.mu.Lock()
 		n, err = unix.Read(int(fd), room)
@@ -307,14 +307,14 @@
 }
 
 // take reads on in what has come for a delivery, and tells whether the connection is still of use.
-func (l *link) take(s *Sending, b *protocol.Buffer, reply *protocol.Reply) bool {
+func (l *link) take(s *Attempt, b *protocol.Buffer, reply *protocol.Reply) bool {
 	if s == nil {
-		l.in.complaints.Complain("an instance sent what nobody asked for", "address", l.address)
+		l.in.complaints.Warn("an instance sent what nobody asked for", "address", l.address)
 		return false
 	}
 	response, done, err := reply.Next(b)
 	if err != nil {
-		l.in.complaints.Complain("an instance sent a damaged reply", "address", l.address)
+		l.in.complaints.Warn("an instance sent a damaged reply", "address", l.address)
 		response, done = protocol.Response{Outcome: decision.OutcomeError}, true // it may have run, and the instance is there
 	}
 	if !done {
@@ -359,7 +359,7 @@
 	}
 }
 
-func (in *Instances) takeIdle(address string) *link {
+func (in *EndpointPool) takeIdle(address string) *link {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	now := time.Now()
@@ -373,7 +373,7 @@
 }
 
 // giveIdle lets a connection stand for the next delivery, unless it has ended.
-func (in *Instances) giveIdle(l *link) {
+func (in *EndpointPool) giveIdle(l *link) {
 	now := time.Now()
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -390,7 +390,7 @@
 }
 
 // remove takes a connection off the idle ones and tells whether it was one.
-func (in *Instances) remove(l *link) bool {
+func (in *EndpointPool) remove(l *link) bool {
 	at := slices.Index(in.all, l)
 	if at < 0 {
 		return false
@@ -406,7 +406,7 @@
 
 // rested takes a connection off the idle ones whose time is over. One that a delivery has just taken has no such time:
 // to read again at once would turn round for ever where nothing else gets to run.
-func (in *Instances) rested(l *link) bool {
+func (in *EndpointPool) rested(l *link) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	idle := in.remove(l)
@@ -416,14 +416,14 @@
 	return idle
 }
 
-func (in *Instances) forget(l *link) bool {
+func (in *EndpointPool) forget(l *link) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.remove(l)
 }
 
 // closeIdle closes the connection that has stood idle longest.
-func (in *Instances) closeIdle() bool {
+func (in *EndpointPool) closeIdle() bool {
 	in.mu.Lock()
 	var l *link
 	if len(in.all) > 0 {
@@ -437,8 +437,8 @@
 	return l != nil
 }
 
-// Drop closes the idle connections to an address that is no longer listed.
-func (in *Instances) Drop(address string) {
+// CloseIdleTo closes the idle connections to an address that is no longer listed.
+func (in *EndpointPool) CloseIdleTo(address string) {
 	in.mu.Lock()
 	some := slices.Clone(in.idle[address])
 	for _, l := range some {
--- a/internal/transport/peers.go
+++ b/internal/transport/peer_socket.go
@@ -9,8 +9,8 @@
 	"laurelring/internal/protocol"
 )
 
-// Peers carries datagrams between gateways.
-type Peers struct {
+// PeerSocket carries datagrams between gateways.
+type PeerSocket struct {
 	conn  *net.UDPConn
 	each  []netip.AddrPort
 	all   netip.AddrPort
@@ -24,10 +24,10 @@
 
 const postsMost = 1024 // datagrams that wait to be sent; a further one is lost, as any may be
 
-// NewPeers listens for datagrams at an address. The gateways' addresses stand in the order of their numbers;
+// NewPeerSocket listens for datagrams at an address. The gateways' addresses stand in the order of their numbers;
 // the one of all of them may be empty.
-func NewPeers(listen string, each []string, all string) (*Peers, error) {
-	p := &Peers{posts: make(chan post, postsMost)}
+func NewPeerSocket(listen string, each []string, all string) (*PeerSocket, error) {
+	p := &PeerSocket{posts: make(chan post, postsMost)}
 	for _, one := range each {
 		at, err := netip.ParseAddrPort(one)
 		if err != nil {
@@ -49,8 +49,8 @@
 	return p, err
 }
 
-// Post sends a datagram to one gateway, or to all where its number is below 0. It does not wait.
-func (p *Peers) Post(to int, text []byte) {
+// Send sends a datagram to one gateway, or to all where its number is below 0. It does not wait.
+func (p *PeerSocket) Send(to int, text []byte) {
 	if len(text) > protocol.DatagramMost || to >= len(p.each) {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // Run sends what is posted and tells heard of every datagram of a known sender, until Close.
-func (p *Peers) Run(heard func(from int, text []byte), complaints *Complaints) {
+func (p *PeerSocket) Run(heard func(from int, text []byte), complaints *RateLimitedLog) {
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -92,13 +92,13 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			complaints.Complain("a datagram could not be read", "cause", err)
+			complaints.Warn("a datagram could not be read", "cause", err)
 			time.Sleep(acceptAgain) // the machine may be short of something for a while
 			continue
 		}
 		number, ok := numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > protocol.DatagramMost {
-			complaints.Complain("a datagram of a stranger, or too long", "from", from)
+			complaints.Warn("a datagram of a stranger, or too long", "from", from)
 			continue
 		}
 		heard(number, append([]byte(nil), b[:n]...))
@@ -106,4 +106,4 @@
 }
 
 // Close ends Run.
-func (p *Peers) Close() { p.conn.Close() }
+func (p *PeerSocket) Close() { p.conn.Close() }
--- a/internal/transport/complain.go
+++ b/internal/transport/rate_limited_log.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Complaints logs bad input, each kind of it once in a while at most.
-type Complaints struct {
+// RateLimitedLog logs bad input, each kind of it once in a while at most.
+type RateLimitedLog struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 	kept map[string]int // not logged since
@@ -15,8 +15,8 @@
 
 const complainEvery = 5 * time.Second
 
-// Complain logs what was wrong with what a party sent.
-func (c *Complaints) Complain(kind string, about ...any) {
+// Warn logs what was wrong with what a party sent.
+func (c *RateLimitedLog) Warn(kind string, about ...any) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/desk.go
+++ b/internal/transport/rollout_client.go
@@ -12,8 +12,8 @@
 	"laurelring/internal/seededrand"
 )
 
-// Desk keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
-type Desk struct {
+// RolloutClient keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
+type RolloutClient struct {
 	within time.Duration
 	told   func(decision.RolloutStatus)
 	voted  func(how decision.Outcome)
@@ -39,18 +39,18 @@
 	deskWithin = time.Second             // for a connection to come up
 )
 
-// NewDesk takes the platform's address, how long a vote's answer is waited for, and whom to tell of news, of
+// NewRolloutClient takes the platform's address, how long a vote's answer is waited for, and whom to tell of news, of
 // how a vote ended, and of the connection's coming and going.
-func NewDesk(address string, within time.Duration,
+func NewRolloutClient(address string, within time.Duration,
 	told func(decision.RolloutStatus), voted func(how decision.Outcome),
-	state func(address string, why error), chance *seededrand.Chance) *Desk {
-	return &Desk{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
+	state func(address string, why error), chance *seededrand.Chance) *RolloutClient {
+	return &RolloutClient{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
 		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}
 }
 
-// Move has the platform heard at another address. Votes in hand are waited for where they were cast; those
+// SetAddress has the platform heard at another address. Votes in hand are waited for where they were cast; those
 // to come are cast there.
-func (d *Desk) Move(address string) {
+func (d *RolloutClient) SetAddress(address string) {
 	d.mu.Lock()
 	changed := d.address != address
 	d.address = address
@@ -63,14 +63,14 @@
 	}
 }
 
-func (d *Desk) at() string {
+func (d *RolloutClient) at() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
 }
 
 // Vote casts a vote. It does not wait; a vote for which there is no room was not carried out.
-func (d *Desk) Vote(v decision.Vote) {
+func (d *RolloutClient) Vote(v decision.Vote) {
 	select {
 	case d.votes <- v:
 	default:
@@ -80,7 +80,7 @@
 
 // Run keeps the connection until the context ends. One that was heard is replaced soon, one after another
 // that is not, later each time.
-func (d *Desk) Run(ctx context.Context) {
+func (d *RolloutClient) Run(ctx context.Context) {
 	d.rest(ctx, d.chance.Time(deskFirst))
 	for pause := deskAgain; ctx.Err() == nil; {
 		number := d.number + 1
@@ -102,7 +102,7 @@
 }
 
 // rest waits before the next connection, unless the address changes. Votes meanwhile are not carried out.
-func (d *Desk) rest(ctx context.Context, pause time.Duration) {
+func (d *RolloutClient) rest(ctx context.Context, pause time.Duration) {
 	again := time.After(pause)
 	for {
 		select {
@@ -126,7 +126,7 @@
 
 // serve listens and votes on one connection until it ends or falls silent; no error says that it was left for
 // another address, or that the context has ended.
-func (d *Desk) serve(ctx context.Context, address string, conn net.Conn) error {
+func (d *RolloutClient) serve(ctx context.Context, address string, conn net.Conn) error {
 	var votes []waiting
 	defer func() {
 		conn.Close()
