--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -109,7 +109,11 @@
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
 	budget := transport.NewDescriptorBudget(descriptors)
 	complaints, lots := &transport.RateLimitedLog{}, seededrand.New(seed)
-	instances := transport.NewEndpointPool(budget, complaints, connectWithin, idleFor/2)
+	endpoints, err := transport.NewEndpointPool(transport.EndpointPoolConfig{
+		Budget: budget, Log: complaints, ConnectTimeout: connectWithin, IdleTimeout: idleFor / 2})
+	if err != nil {
+		return err
+	}
 	post := func(int, []byte) {}
 	var r *routing.Router
 	var peers *transport.PeerSocket
@@ -141,25 +145,28 @@
 		}
 	}
 	var discovery *transport.DiscoveryClient
-	var desk *transport.RolloutClient
+	var rolloutClient *transport.RolloutClient
 	r = routing.New(gateway, busy, clock, routing.Outside{
 		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
 			ended func(protocol.Response)) routing.Delivery {
-			return instances.Send(address, until, encode, ended)
+			return endpoints.Send(address, until, encode, ended)
 		},
-		Drop:  instances.CloseIdleTo,
+		Drop:  endpoints.CloseIdleTo,
 		Post:  post,
-		Vote:  func(v decision.Vote) { desk.Vote(v) },
+		Vote:  func(v decision.Vote) { rolloutClient.Vote(v) },
 		Watch: func() { discovery.StartWatch(ctx) },
 		Build: build,
 	})
-	desk = transport.NewRolloutClient(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
-		if why == nil {
-			log.Info("the platform is heard", "address", address)
-		} else {
-			log.Warn("the platform is lost", "address", address, "cause", why)
-		}
-	}, lots)
+	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
+		Address: deskAt, VoteTimeout: voteWithin, Random: lots, OnStatus: r.News, OnVoteResult: r.Voted,
+		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
+		OnDisconnected: func(address string, err error) {
+			log.Warn("rollout controller disconnected", "address", address, "error", err)
+		},
+	})
+	if err != nil {
+		return err
+	}
 	gateway.StartLease(clock())
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
 		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
@@ -169,27 +176,40 @@
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.News(status)
-	discovery = transport.NewDiscoveryClient(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
-		list, err := protocol.ReadList(text, zones, models)
-		if err != nil {
-			return 0, err
-		}
-		return r.Listed(list, false, anew)
-	}, r.ListFailed, lots)
+	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
+		Address: discoveryAt, MaxWait: askWithin, Revision: startList.Revision, Random: lots,
+		OnListStart: r.ListBegun,
+		OnList: func(text []byte, full bool) (int64, error) {
+			list, err := protocol.ReadList(text, zones, models)
+			if err != nil {
+				return 0, err
+			}
+			return r.Listed(list, false, full)
+		},
+		OnFailure: r.ListFailed,
+	})
+	if err != nil {
+		return err
+	}
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	front := transport.NewClientServer(budget, complaints, int64(handShare*float64(memory)), longest, named,
-		func(request protocol.Request, to *transport.PendingResponse) {
-			r.Command(request, to)
-		}, func(to *transport.PendingResponse) { r.Gone(to) })
+	clients, err := transport.NewClientServer(transport.ClientServerConfig{
+		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(memory)), MaxRemaining: longest,
+		OpTypes:      named,
+		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.Command(request, response) },
+		OnDisconnect: func(response *transport.PendingResponse) { r.Gone(response) },
+	})
+	if err != nil {
+		return err
+	}
 	go r.Run(ctx)
 	if _, err := r.Listed(startList, true, false); err != nil {
 		return err
 	}
-	go desk.Run(ctx)
+	go rolloutClient.Run(ctx)
 	if agent != nil {
 		background := make(chan struct{}) // it holds the store until it has ended
 		go func() { defer close(background); agent.Run(ctx) }()
@@ -202,7 +222,7 @@
 		go peers.Run(r.Heard, complaints)
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- front.Serve(ln) }()
+	go func() { failed <- clients.Serve(ln) }()
 	log.Info("serving", "address", listen, "memory", memory, "descriptors", descriptors)
 	var rested chan int
 	for {
@@ -217,7 +237,7 @@
 				if discovery.SetAddress(listAt) {
 					r.ListMoved()
 				}
-				desk.SetAddress(votesAt)
+				rolloutClient.SetAddress(votesAt)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -234,8 +254,8 @@
 			r.Ending(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
-				front.Drain()
-				rested <- front.AwaitDisconnects(answered + 2*killMargin)
+				clients.Drain()
+				rested <- clients.AwaitDisconnects(answered + 2*killMargin)
 			}()
 		case n := <-rested:
 			if n > 0 {
--- a/internal/transport/client_server.go
+++ b/internal/transport/client_server.go
@@ -50,16 +50,47 @@
 	closing bool
 }
 
-// NewClientServer takes how many bytes of commands may be in hand, the longest time for which a client is taken to
-// wait, the op types by the words that ask for them, and whom to tell of a command and of a client that left
-// before its answer.
-func NewClientServer(budget *DescriptorBudget, complaints *RateLimitedLog, room int64, longest time.Duration, ops map[string]*decision.OpType,
-	take func(request protocol.Request, to *PendingResponse),
-	gone func(to *PendingResponse)) *ClientServer {
-	f := &ClientServer{complaints: complaints, room: semaphore.NewWeighted(room), longest: longest,
-		beyond: make(chan struct{}, beyondMost), ops: ops, take: take, gone: gone}
-	f.share, f.manyQuiet = budget.join(f, clientsPart), int(quietPart*float64(budget.most))
-	return f
+// ClientServerConfig is what a ClientServer needs. All fields are required.
+type ClientServerConfig struct {
+	Budget *DescriptorBudget
+	Log    *RateLimitedLog
+	// MaxRequestBytes bounds the requests that wait for their responses, over all connections; beyond it
+	// connections are read later.
+	MaxRequestBytes int64
+	// MaxRemaining bounds the time until the deadline that a client may state; a longer one is cut to it.
+	MaxRemaining time.Duration
+	// OpTypes are the op types by command and name as a request states them.
+	OpTypes map[string]*decision.OpType
+	// OnRequest is called for each well-formed request, in the order of its connection. It may block, which
+	// holds up that connection alone.
+	OnRequest func(request protocol.Request, response *PendingResponse)
+	// OnDisconnect is called for each request whose client disconnected before its response.
+	OnDisconnect func(response *PendingResponse)
+}
+
+func (c *ClientServerConfig) validate() error {
+	switch {
+	case c.Budget == nil || c.Log == nil:
+		return errors.New("client server needs a descriptor budget and a log")
+	case c.MaxRequestBytes < 0 || c.MaxRemaining < 0:
+		return errors.New("client server limits must not be negative")
+	case c.OnRequest == nil || c.OnDisconnect == nil:
+		return errors.New("client server needs its callbacks")
+	}
+	return nil
+}
+
+// NewClientServer returns a server that accepts connections once Serve is called. It fails where a field of its
+// configuration is missing or negative.
+func NewClientServer(config ClientServerConfig) (*ClientServer, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	f := &ClientServer{complaints: config.Log, room: semaphore.NewWeighted(config.MaxRequestBytes),
+		longest: config.MaxRemaining, beyond: make(chan struct{}, beyondMost), ops: config.OpTypes,
+		take: config.OnRequest, gone: config.OnDisconnect}
+	f.share, f.manyQuiet = config.Budget.join(f, clientsPart), int(quietPart*float64(config.Budget.most))
+	return f, nil
 }
 
 // Serve accepts connections until the listener is closed.
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -17,12 +17,9 @@
 
 // DiscoveryClient watches the list of instances.
 type DiscoveryClient struct {
+	config   DiscoveryClientConfig
 	client   *http.Client
 	wait     time.Duration
-	begun    func()
-	told     func(text []byte, anew bool) (revision int64, err error)
-	failed   func(error)
-	chance   *seededrand.Chance
 	revision int64
 	anew     bool // the next call asks for all, from no revision on: discovery has come back with an older list
 	watching atomic.Bool
@@ -45,15 +42,47 @@
 	keepAgain  = 400 * time.Millisecond // after a failed call, and up to half as much less or more by lot: what a local agent has counts as told at once
 )
 
-// NewDiscoveryClient takes the address, how long the list may go unasked, the revision that is known, and whom
-// to tell of a list that begins to come, of an answer, which gives its revision, or of a failure.
-func NewDiscoveryClient(address string, wait time.Duration, revision int64, begun func(),
-	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Chance) *DiscoveryClient {
-	wait = min(wait, waitMost)
-	return &DiscoveryClient{address: address, wait: wait, begun: begun, told: told, failed: failed, revision: revision, leave: func() {},
-		chance: chance,
+// DiscoveryClientConfig is what a DiscoveryClient needs. All fields but Revision are required. The callbacks are
+// called one at a time, on the goroutine of the watch.
+type DiscoveryClientConfig struct {
+	Address  string             // of discovery
+	MaxWait  time.Duration      // of one long poll; the client may wait for less
+	Revision int64              // of the endpoint list that the gateway starts with
+	Random   *seededrand.Chance // spreads the polls of a fleet
+	// OnListStart is called when an endpoint list begins to arrive, before it is complete: what the list says
+	// binds the gateway from the moment it is written.
+	OnListStart func()
+	// OnList is called with the text of each list that arrived. full says that the poll asked for the list from
+	// no revision on. It returns the revision of the list, or protocol.ErrOlder where a newer one is held: the
+	// next poll asks for the full list then.
+	OnList func(text []byte, full bool) (revision int64, err error)
+	// OnFailure is called with a *protocol.CallError when a poll failed and the watch has ended.
+	OnFailure func(error)
+}
+
+func (c *DiscoveryClientConfig) validate() error {
+	switch {
+	case c.Random == nil:
+		return errors.New("discovery client needs a source of random numbers")
+	case c.MaxWait < 0:
+		return errors.New("discovery client wait must not be negative")
+	case c.OnListStart == nil || c.OnList == nil || c.OnFailure == nil:
+		return errors.New("discovery client needs its callbacks")
+	}
+	return nil
+}
+
+// NewDiscoveryClient returns a client that polls once StartWatch or KeepWatching is called. It fails where a field
+// of its configuration is missing or negative.
+func NewDiscoveryClient(config DiscoveryClientConfig) (*DiscoveryClient, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	wait := min(config.MaxWait, waitMost)
+	return &DiscoveryClient{config: config, address: config.Address, wait: wait, revision: config.Revision,
+		leave: func() {},
 		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true},
-			Timeout: wait + graceAfterWait}}
+			Timeout: wait + graceAfterWait}}, nil
 }
 
 // StartWatch asks for the changes from here on, unless a watch stands. It does not wait; a watch ends when a call
@@ -66,7 +95,7 @@
 		err := d.watch(ctx)
 		d.watching.Store(false)
 		if ctx.Err() == nil {
-			d.failed(err)
+			d.config.OnFailure(err)
 		}
 	}()
 }
@@ -74,9 +103,9 @@
 // KeepWatching watches for as long as the context stands, where gateways need not ask for themselves.
 func (d *DiscoveryClient) KeepWatching(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.failed(d.watch(ctx))
+		d.config.OnFailure(d.watch(ctx))
 		select {
-		case <-time.After(keepAgain/2 + d.chance.Time(keepAgain)):
+		case <-time.After(keepAgain/2 + d.config.Random.Time(keepAgain)):
 		case <-ctx.Done():
 		}
 	}
@@ -129,7 +158,7 @@
 // had begun to come that was not taken in.
 func (d *DiscoveryClient) call(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
 	var answering atomic.Bool
-	wait := d.wait - d.chance.Time(d.wait/waitLot)
+	wait := d.wait - d.config.Random.Time(d.wait/waitLot)
 	stalled := time.AfterFunc(wait+graceAfterWait, leave)
 	defer stalled.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
@@ -157,12 +186,12 @@
 	if answer.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("discovery answered %s", answer.Status)
 	}
-	d.begun()
+	d.config.OnListStart()
 	text, err := io.ReadAll(io.LimitReader(&going{answer.Body, stalled}, protocol.ListMost))
 	if err != nil {
 		return true, err
 	}
-	revision, err := d.told(text, anew)
+	revision, err := d.config.OnList(text, anew)
 	if err == nil {
 		d.revision = revision
 	}
--- a/internal/transport/endpoint_pool.go
+++ b/internal/transport/endpoint_pool.go
@@ -33,11 +33,34 @@
 // answer comes right behind it, and would be taken for the answer to the next command.
 const restFor = 20 * time.Millisecond
 
-// NewEndpointPool takes how long a connection may take to come up and how long it may stand idle.
-func NewEndpointPool(budget *DescriptorBudget, complaints *RateLimitedLog, connectWithin, idleFor time.Duration) *EndpointPool {
-	in := &EndpointPool{complaints: complaints, connectWithin: connectWithin, idleFor: idleFor, idle: map[string][]*link{}}
-	in.share = budget.join(in, instancesPart)
-	return in
+// EndpointPoolConfig is what an EndpointPool needs. All fields are required.
+type EndpointPoolConfig struct {
+	Budget         *DescriptorBudget
+	Log            *RateLimitedLog
+	ConnectTimeout time.Duration // until a connection is established
+	IdleTimeout    time.Duration // after which an unused connection is closed
+}
+
+func (c *EndpointPoolConfig) validate() error {
+	switch {
+	case c.Budget == nil || c.Log == nil:
+		return errors.New("endpoint pool needs a descriptor budget and a log")
+	case c.ConnectTimeout < 0 || c.IdleTimeout < 0:
+		return errors.New("endpoint pool timeouts must not be negative")
+	}
+	return nil
+}
+
+// NewEndpointPool returns a pool without connections. It fails where a field of its configuration is missing or
+// negative.
+func NewEndpointPool(config EndpointPoolConfig) (*EndpointPool, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	in := &EndpointPool{complaints: config.Log, connectWithin: config.ConnectTimeout, idleFor: config.IdleTimeout,
+		idle: map[string][]*link{}}
+	in.share = config.Budget.join(in, instancesPart)
+	return in, nil
 }
 
 // link is one connection to an instance. It ends in close, which alone gives its descriptor back.
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -14,11 +14,7 @@
 
 // RolloutClient keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
 type RolloutClient struct {
-	within time.Duration
-	told   func(decision.RolloutStatus)
-	voted  func(how decision.Outcome)
-	state  func(address string, why error) // without a reason it is heard
-	chance *seededrand.Chance
+	config RolloutClientConfig
 	votes  chan decision.Vote
 	moved  chan struct{} // holds one once the address has changed
 	number int           // of the last call
@@ -39,13 +35,42 @@
 	deskWithin = time.Second             // for a connection to come up
 )
 
-// NewRolloutClient takes the platform's address, how long a vote's answer is waited for, and whom to tell of news, of
-// how a vote ended, and of the connection's coming and going.
-func NewRolloutClient(address string, within time.Duration,
-	told func(decision.RolloutStatus), voted func(how decision.Outcome),
-	state func(address string, why error), chance *seededrand.Chance) *RolloutClient {
-	return &RolloutClient{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
-		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}
+// RolloutClientConfig is what a RolloutClient needs. All fields are required. The callbacks are called one at a
+// time, but for OnVoteResult where Vote finds the queue full.
+type RolloutClientConfig struct {
+	Address     string             // of the rollout controller
+	VoteTimeout time.Duration      // for writing a vote, and again for its answer
+	Random      *seededrand.Chance // spreads the reconnects of a fleet
+	// OnStatus is called for each rollout status that the controller sends.
+	OnStatus func(decision.RolloutStatus)
+	// OnVoteResult is called once for each vote, in the order of the answers.
+	OnVoteResult func(outcome decision.Outcome)
+	// OnConnected is called when the controller has answered on a new connection.
+	OnConnected func(address string)
+	// OnDisconnected is called when a connection failed or was lost; the client connects again by itself.
+	OnDisconnected func(address string, err error)
+}
+
+func (c *RolloutClientConfig) validate() error {
+	switch {
+	case c.Random == nil:
+		return errors.New("rollout client needs a source of random numbers")
+	case c.VoteTimeout < 0:
+		return errors.New("rollout client vote timeout must not be negative")
+	case c.OnStatus == nil || c.OnVoteResult == nil || c.OnConnected == nil || c.OnDisconnected == nil:
+		return errors.New("rollout client needs its callbacks")
+	}
+	return nil
+}
+
+// NewRolloutClient returns a client that connects once Run is called. It fails where a field of its
+// configuration is missing or negative.
+func NewRolloutClient(config RolloutClientConfig) (*RolloutClient, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	return &RolloutClient{config: config, address: config.Address,
+		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}, nil
 }
 
 // SetAddress has the platform heard at another address. Votes in hand are waited for where they were cast; those
@@ -74,14 +99,14 @@
 	select {
 	case d.votes <- v:
 	default:
-		go d.voted(decision.OutcomeConnectFailed)
+		go d.config.OnVoteResult(decision.OutcomeConnectFailed)
 	}
 }
 
 // Run keeps the connection until the context ends. One that was heard is replaced soon, one after another
 // that is not, later each time.
 func (d *RolloutClient) Run(ctx context.Context) {
-	d.rest(ctx, d.chance.Time(deskFirst))
+	d.rest(ctx, d.config.Random.Time(deskFirst))
 	for pause := deskAgain; ctx.Err() == nil; {
 		number := d.number + 1
 		address := d.at()
@@ -95,8 +120,8 @@
 		if err == nil { // left for another address
 			continue
 		}
-		d.state(address, err)
-		d.rest(ctx, pause+d.chance.Time(pause))
+		d.config.OnDisconnected(address, err)
+		d.rest(ctx, pause+d.config.Random.Time(pause))
 		pause = min(2*pause, deskMost)
 	}
 }
@@ -107,7 +132,7 @@
 	for {
 		select {
 		case <-d.votes:
-			d.voted(decision.OutcomeConnectFailed)
+			d.config.OnVoteResult(decision.OutcomeConnectFailed)
 		case <-d.moved:
 			return
 		case <-again:
@@ -131,7 +156,7 @@
 	defer func() {
 		conn.Close()
 		for range votes {
-			d.voted(decision.OutcomeTimeout)
+			d.config.OnVoteResult(decision.OutcomeTimeout)
 		}
 	}()
 	lines, broken, done := make(chan []byte), make(chan error, 1), make(chan struct{})
@@ -154,15 +179,15 @@
 			cast, leaveAt = nil, time.Now().Add(leaveFor)
 		case line := <-lines:
 			alive = time.Now()
-			err := protocol.ParseControllerLine(line, protocol.ControllerEvents{Status: d.told, Answered: func(id int, how decision.Outcome) {
+			err := protocol.ParseControllerLine(line, protocol.ControllerEvents{Status: d.config.OnStatus, Answered: func(id int, how decision.Outcome) {
 				if id == listening {
 					d.heard = id
-					d.state(address, nil)
+					d.config.OnConnected(address)
 				}
 				for i, v := range votes {
 					if v.id == id {
 						votes = append(votes[:i], votes[i+1:]...)
-						d.voted(how)
+						d.config.OnVoteResult(how)
 						return
 					}
 				}
@@ -173,16 +198,16 @@
 		case v := <-cast:
 			d.number++
 			text := protocol.Ballot(d.number, v)
-			conn.SetWriteDeadline(time.Now().Add(d.within))
+			conn.SetWriteDeadline(time.Now().Add(d.config.VoteTimeout))
 			if n, err := conn.Write(text); n < len(text) {
-				d.voted(decision.OutcomeConnectFailed)
+				d.config.OnVoteResult(decision.OutcomeConnectFailed)
 				return err
 			}
-			votes = append(votes, waiting{d.number, time.Now().Add(d.within)})
+			votes = append(votes, waiting{d.number, time.Now().Add(d.config.VoteTimeout)})
 		case now := <-tick.C:
 			for len(votes) > 0 && now.After(votes[0].at) {
 				votes = votes[1:]
-				d.voted(decision.OutcomeTimeout)
+				d.config.OnVoteResult(decision.OutcomeTimeout)
 			}
 			if cast == nil && now.After(leaveAt) {
 				return nil
