--- a/internal/transport/client_server.go
+++ b/internal/transport/client_server.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	acceptAgain = 5 * time.Millisecond
-	beyondMost  = 8 // clients beyond the limit, whose commands find no room
+	shortageRetryDelay = 5 * time.Millisecond
+	maxOverflowClients = 8 // clients beyond the limit, whose commands find no room
 	// A client brings its next command within this time, or is quiet. While the gateway ends it waits as long for
 	// a last one.
-	bringsWithin = 300 * time.Millisecond
-	firstWithin  = 2500 * time.Millisecond // a client that brings no whole command by then is ended
-	quietFor     = 2 * time.Second         // between two commands: some ask once and stay for good
-	newWithin    = 50 * time.Millisecond   // where room is short one that has been quiet for so long may go
+	nextRequestWindow    = 300 * time.Millisecond
+	requestTimeout       = 2500 * time.Millisecond // a client that brings no whole command by then is ended
+	idleTimeout          = 2 * time.Second         // between two commands: some ask once and stay for good
+	minIdleBeforeReclaim = 50 * time.Millisecond   // where room is short one that has been quiet for so long may go
 	// Clients open no further connections beyond a part of the descriptors: what stands quiet keeps others out.
 	// Beyond this part of them the longest quiet ones go, so often.
-	quietPart  = 0.2
-	sweepEvery = 50 * time.Millisecond
+	idleConnectionShare = 0.2
+	idleSweepInterval   = 50 * time.Millisecond
 )
 
 // ClientServer takes commands from clients and brings them their answers.
 type ClientServer struct {
-	share      *descriptorQuota
-	complaints *RateLimitedLog
-	room       *semaphore.Weighted         // bytes of commands in hand
-	longest    time.Duration               // a client waits
-	beyond     chan struct{}               // holds one for each client beyond the limit
-	manyQuiet  int                         // connections that have brought a command and may stand quiet
-	ops        map[string]*decision.OpType // by the words that ask for them
-	take       func(request protocol.Request, to *PendingResponse)
-	gone       func(to *PendingResponse)
-
-	mu      sync.Mutex
-	clients []*client // the longest quiet first
-	closing bool
+	quota        *descriptorQuota
+	log          *RateLimitedLog
+	requestBytes *semaphore.Weighted         // bytes of commands in hand
+	maxRemaining time.Duration               // a client waits
+	overflow     chan struct{}               // holds one for each client beyond the limit
+	maxIdle      int                         // connections that have brought a command and may stand quiet
+	opTypes      map[string]*decision.OpType // by the words that ask for them
+	onRequest    func(request protocol.Request, to *PendingResponse)
+	onDisconnect func(to *PendingResponse)
+
+	mu          sync.Mutex
+	connections []*clientConnection // the longest quiet first
+	draining    bool
 }
 
 // ClientServerConfig is what a ClientServer needs. All fields are required.
@@ -86,194 +86,196 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	f := &ClientServer{complaints: config.Log, room: semaphore.NewWeighted(config.MaxRequestBytes),
-		longest: config.MaxRemaining, beyond: make(chan struct{}, beyondMost), ops: config.OpTypes,
-		take: config.OnRequest, gone: config.OnDisconnect}
-	f.share, f.manyQuiet = config.Budget.join(f, clientsPart), int(quietPart*float64(config.Budget.most))
+	f := &ClientServer{log: config.Log, requestBytes: semaphore.NewWeighted(config.MaxRequestBytes),
+		maxRemaining: config.MaxRemaining, overflow: make(chan struct{}, maxOverflowClients), opTypes: config.OpTypes,
+		onRequest: config.OnRequest, onDisconnect: config.OnDisconnect}
+	f.quota, f.maxIdle = config.Budget.addQuota(f, clientShare), int(idleConnectionShare*float64(config.Budget.limit))
 	return f, nil
 }
 
 // Serve accepts connections until the listener is closed.
 func (f *ClientServer) Serve(ln net.Listener) error {
-	sweep, done := time.NewTicker(sweepEvery), make(chan struct{})
+	sweep, done := time.NewTicker(idleSweepInterval), make(chan struct{})
 	defer sweep.Stop()
 	defer close(done)
 	go func() {
 		for {
 			select {
 			case <-sweep.C:
-				f.endMany()
+				f.closeExcessIdle()
 			case <-done:
 				return
 			}
 		}
 	}()
-	return redcon.Serve(&door{ln, f}, f.begin, nil, nil)
+	return redcon.Serve(&budgetedListener{ln, f}, f.takeOver, nil, nil)
 }
 
 // endMany ends the longest quiet of the connections that have brought a command, where there are too many.
-func (f *ClientServer) endMany() {
-	all := slices.DeleteFunc(f.all(), func(c *client) bool { return !c.hasBrought() })
-	for _, c := range all[:max(0, len(all)-f.manyQuiet)] {
-		c.endQuiet(newWithin, true, false)
+func (f *ClientServer) closeExcessIdle() {
+	all := slices.DeleteFunc(f.snapshot(), func(c *clientConnection) bool { return !c.usedBefore() })
+	for _, c := range all[:max(0, len(all)-f.maxIdle)] {
+		c.closeIfIdle(minIdleBeforeReclaim, true, false)
 	}
 }
 
 // door is the listener that redcon accepts from: its connections count against the budget.
-type door struct {
+type budgetedListener struct {
 	net.Listener
-	front *ClientServer
+	server *ClientServer
 }
 
 // Accept waits for a client. One for which there is no descriptor is taken beyond the limit, so that its
 // commands get an answer: what waits outside has been taken all the same, as the machine has accepted it.
-func (d *door) Accept() (net.Conn, error) {
+func (d *budgetedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := d.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
 		if err != nil { // the machine is short of something: redcon would ask again at once
-			time.Sleep(acceptAgain)
+			time.Sleep(shortageRetryDelay)
 			continue
 		}
-		f := d.front
-		c := &client{Conn: conn, front: f, buffer: protocol.NewBuffer(protocol.CommandMost), activeAt: time.Now()}
-		c.within = f.share.take()
-		for begun := time.Now(); !c.within && f.crowded() && time.Since(begun) < newWithin; c.within = f.share.take() {
-			time.Sleep(acceptAgain)
+		f := d.server
+		c := &clientConnection{Conn: conn, server: f, buffer: protocol.NewBuffer(protocol.CommandMost), lastActive: time.Now()}
+		c.hasDescriptor = f.quota.acquire()
+		for begun := time.Now(); !c.hasDescriptor && f.hasUnusedConnection() && time.Since(begun) < minIdleBeforeReclaim; c.hasDescriptor = f.quota.acquire() {
+			time.Sleep(shortageRetryDelay)
 		}
-		if c.within {
-			c.release = f.share.give
+		if c.hasDescriptor {
+			c.releasePlace = f.quota.release
 		} else {
-			f.goBeyond(c)
+			f.placeInOverflow(c)
 		}
 		f.mu.Lock()
-		f.clients = append(f.clients, c)
-		closing := f.closing
+		f.connections = append(f.connections, c)
+		closing := f.draining
 		f.mu.Unlock()
-		if closing || !c.within { // while closing it may bring again what crossed the end of another
-			c.endLater()
+		if closing || !c.hasDescriptor { // while closing it may bring again what crossed the end of another
+			c.closeIfIdleLater()
 		}
 		return c, nil
 	}
 }
 
 // goBeyond finds a place beyond the limit; where none is left a quiet client there has to go.
-func (f *ClientServer) goBeyond(c *client) {
-	c.release = func() { <-f.beyond }
+func (f *ClientServer) placeInOverflow(c *clientConnection) {
+	c.releasePlace = func() { <-f.overflow }
 	select {
-	case f.beyond <- struct{}{}:
+	case f.overflow <- struct{}{}:
 		return
 	default:
 	}
-	for _, o := range f.all() {
-		if o.endQuiet(0, false, true) {
+	for _, o := range f.snapshot() {
+		if o.closeIfIdle(0, false, true) {
 			break
 		}
 	}
-	f.beyond <- struct{}{}
+	f.overflow <- struct{}{}
 }
 
 // admit tells whether a connection is within the limit, or can be by now.
-func (c *client) admit() bool {
+func (c *clientConnection) ensureDescriptor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.within && !c.shut && c.front.share.free() {
-		c.release()
-		c.within, c.release = true, c.front.share.give
+	if !c.hasDescriptor && !c.closing && c.server.quota.tryAcquire() {
+		c.releasePlace()
+		c.hasDescriptor, c.releasePlace = true, c.server.quota.release
 	}
-	return c.within
+	return c.hasDescriptor
 }
 
 // client is one connection of a client. It ends in Close, which alone gives its place back.
-type client struct {
+type clientConnection struct {
 	net.Conn
-	front    *ClientServer
-	buffer   *protocol.Buffer
-	commands protocol.Commands
-	greeted  bool      // redcon has been handed what it passes the connection on for
-	begunAt  time.Time // when a command that is not whole was first met; zero if there is none
-	lost     bool      // its framing
-
-	mu       sync.Mutex
-	inHand   int  // commands read and not yet answered
-	brought  bool // one was read
-	halfway  bool // another has begun
-	activeAt time.Time
-	shut     bool   // no further command is read
-	within   bool   // the limit
-	release  func() // gives back its descriptor, or its place beyond the limit
-	once     sync.Once
+	server       *ClientServer
+	buffer       *protocol.Buffer
+	framing      protocol.Commands
+	handedOver   bool      // redcon has been handed what it passes the connection on for
+	partialSince time.Time // when a command that is not whole was first met; zero if there is none
+	framingLost  bool      // its framing
+
+	mu            sync.Mutex
+	pending       int  // commands read and not yet answered
+	hasRequested  bool // one was read
+	partial       bool // another has begun
+	lastActive    time.Time
+	closing       bool   // no further command is read
+	hasDescriptor bool   // the limit
+	releasePlace  func() // gives back its descriptor, or its place beyond the limit
+	closeOnce     sync.Once
 }
 
 // hold counts a command that was read; none is any more once the connection is to be closed.
-func (c *client) hold() bool {
+func (c *clientConnection) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.halfway = false; !c.shut {
-		c.inHand++
-		c.brought = true
+	if c.partial = false; !c.closing {
+		c.pending++
+		c.hasRequested = true
 	}
-	return !c.shut
+	return !c.closing
 }
 
 // free counts one that was answered.
-func (c *client) free() {
+func (c *clientConnection) finishRequest() {
 	c.mu.Lock()
-	c.inHand, c.activeAt = c.inHand-1, time.Now()
-	within := c.within
+	c.pending, c.lastActive = c.pending-1, time.Now()
+	within := c.hasDescriptor
 	c.mu.Unlock()
-	f := c.front
+	f := c.server
 	f.mu.Lock()
-	if at := slices.Index(f.clients, c); at >= 0 && f.clients[len(f.clients)-1] != c {
-		f.clients = append(slices.Delete(f.clients, at, at+1), c)
+	if at := slices.Index(f.connections, c); at >= 0 && f.connections[len(f.connections)-1] != c {
+		f.connections = append(slices.Delete(f.connections, at, at+1), c)
 	}
-	closing := f.closing
+	closing := f.draining
 	f.mu.Unlock()
 	if closing {
-		c.endQuiet(0, true, true)
+		c.closeIfIdle(0, true, true)
 	} else if !within {
-		c.endLater()
+		c.closeIfIdleLater()
 	}
 }
 
 // endLater ends the connection if it is quiet after a while and the gateway ends or it is beyond the limit.
-func (c *client) endLater() {
-	time.AfterFunc(bringsWithin, func() { c.endQuiet(bringsWithin, c.front.isClosing(), true) })
+func (c *clientConnection) closeIfIdleLater() {
+	time.AfterFunc(nextRequestWindow, func() { c.closeIfIdle(nextRequestWindow, c.server.isDraining(), true) })
 }
 
 // endNew ends a connection within the limit that has brought nothing for a while.
-func (c *client) endNew() bool { return !c.hasBrought() && c.endQuiet(newWithin, true, false) }
+func (c *clientConnection) closeIfUnused() bool {
+	return !c.usedBefore() && c.closeIfIdle(minIdleBeforeReclaim, true, false)
+}
 
-func (c *client) hasBrought() bool {
+func (c *clientConnection) usedBefore() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.brought
+	return c.hasRequested
 }
 
 // endQuiet ends a connection that has no command in hand and had none for so long, if such as are within the
 // limit or beyond it are to end. One on which a command is on its way stays, unless it would be the first and
 // room is short.
-func (c *client) endQuiet(since time.Duration, within, beyond bool) bool {
-	closing := c.front.isClosing()
+func (c *clientConnection) closeIfIdle(since time.Duration, within, beyond bool) bool {
+	closing := c.server.isDraining()
 	c.mu.Lock()
-	quiet := !c.shut && c.inHand == 0 && (c.within && within || !c.within && beyond) && time.Since(c.activeAt) >= since
-	if quiet && (c.brought || closing) {
-		quiet = !c.halfway && !c.unread()
+	quiet := !c.closing && c.pending == 0 && (c.hasDescriptor && within || !c.hasDescriptor && beyond) && time.Since(c.lastActive) >= since
+	if quiet && (c.hasRequested || closing) {
+		quiet = !c.partial && !c.hasUnreadBytes()
 	}
-	c.shut = c.shut || quiet
+	c.closing = c.closing || quiet
 	c.mu.Unlock()
 	if quiet {
 		slog.Debug("a client's connection is closed", "client", c.RemoteAddr(), "reason", "quiet", "ending", closing)
-		c.reset()
+		c.resetOnClose()
 		c.Close()
 	}
 	return quiet
 }
 
 // unread tells whether bytes of the client wait to be read.
-func (c *client) unread() bool {
+func (c *clientConnection) hasUnreadBytes() bool {
 	conn, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return false
@@ -282,13 +284,13 @@
 	if err != nil {
 		return false
 	}
-	n, err := peek(raw)
+	n, err := peekByte(raw)
 	return err == nil && n > 0
 }
 
 // reset has the connection end in a reset where all answers have arrived. It tells a client that what crossed
 // the end was not read, so that it may bring it again; an orderly end after a whole command would not.
-func (c *client) reset() {
+func (c *clientConnection) resetOnClose() {
 	conn, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -308,36 +310,36 @@
 }
 
 // greeting is what redcon reads first on each connection: it passes the connection on.
-var greeting = []byte("*1\r\n$5\r\nBEGIN\r\n")
+var handoverCommand = []byte("*1\r\n$5\r\nBEGIN\r\n")
 
 // Read hands redcon the greeting, and nothing after it: the connection's session reads by itself. redcon's
 // own buffers are so let go of at once: a connection that stands for long would keep them at their largest.
-func (c *client) Read(p []byte) (int, error) {
-	if c.greeted {
+func (c *clientConnection) Read(p []byte) (int, error) {
+	if c.handedOver {
 		return 0, io.EOF
 	}
-	c.greeted = true
-	return copy(p, greeting), nil
+	c.handedOver = true
+	return copy(p, handoverCommand), nil
 }
 
 // next reads the client's next command, or what is wrong with what came in its place. An error says that the
 // connection has ended, be it by the gateway itself.
-func (c *client) next() (cmd redcon.Command, fault string, err error) {
+func (c *clientConnection) readRequest() (cmd redcon.Command, fault string, err error) {
 	for {
-		size, large, err := c.commands.Next(c.buffer)
+		size, large, err := c.framing.Next(c.buffer)
 		switch {
 		case err != nil:
-			c.lost, fault = true, "Protocol error"
+			c.framingLost, fault = true, "Protocol error"
 		case large:
 			fault = "a command is larger than 64 KiB"
 		case size > 0:
 			raw := bytes.Clone(c.buffer.Bytes()[:size])
 			c.buffer.Drop(size)
 			if cmd, err = redcon.Parse(raw); err != nil {
-				c.lost, fault = true, "Protocol error"
+				c.framingLost, fault = true, "Protocol error"
 			}
-		case !c.await():
-			c.lost, fault = true, "a command does not end"
+		case !c.setReadDeadline():
+			c.framingLost, fault = true, "a command does not end"
 		default:
 			n, err := c.Conn.Read(c.buffer.Room())
 			c.buffer.Add(n)
@@ -346,8 +348,8 @@
 			}
 			continue
 		}
-		c.begunAt = time.Time{}
-		if !c.hold() { // it crossed the end
+		c.partialSince = time.Time{}
+		if !c.beginRequest() { // it crossed the end
 			return cmd, "", io.EOF
 		}
 		return cmd, fault, nil
@@ -356,39 +358,39 @@
 
 // leaves passes over what comes after a lost framing and tells whether the client ended the connection, rather
 // than the gateway.
-func (c *client) leaves() bool {
+func (c *clientConnection) awaitDisconnect() bool {
 	c.SetReadDeadline(time.Time{})
-	n, err := io.CopyN(io.Discard, c.Conn, passedMost)
-	return n < passedMost && !errors.Is(err, net.ErrClosed)
+	n, err := io.CopyN(io.Discard, c.Conn, maxDiscardedBytes)
+	return n < maxDiscardedBytes && !errors.Is(err, net.ErrClosed)
 }
 
 // await sets until when the next bytes are waited for: a command that has begun is whole in a while, a first
 // one comes in a while. It ends a connection on which none does, and tells whether no command stops halfway.
-func (c *client) await() bool {
+func (c *clientConnection) setReadDeadline() bool {
 	now := time.Now()
-	if len(c.buffer.Bytes()) > 0 || c.commands.Begun() {
-		if c.begunAt.IsZero() {
-			c.begunAt = now
+	if len(c.buffer.Bytes()) > 0 || c.framing.Begun() {
+		if c.partialSince.IsZero() {
+			c.partialSince = now
 			c.mu.Lock()
-			c.halfway = true
+			c.partial = true
 			c.mu.Unlock()
 		}
-		over := c.begunAt.Add(firstWithin)
+		over := c.partialSince.Add(requestTimeout)
 		c.SetReadDeadline(over)
 		return now.Before(over)
 	}
 	c.mu.Lock()
-	within, since := quietFor, c.activeAt
-	if !c.brought {
-		within = firstWithin
+	within, since := idleTimeout, c.lastActive
+	if !c.hasRequested {
+		within = requestTimeout
 	}
-	if c.inHand > 0 {
+	if c.pending > 0 {
 		since = now
 	}
 	c.mu.Unlock()
 	over := since.Add(within)
 	if !now.Before(over) {
-		c.endQuiet(within, true, true)
+		c.closeIfIdle(within, true, true)
 		over = now.Add(within)
 	}
 	c.SetReadDeadline(over)
@@ -396,18 +398,18 @@
 }
 
 // Close ends the connection.
-func (c *client) Close() error {
-	c.once.Do(func() {
-		f := c.front
+func (c *clientConnection) Close() error {
+	c.closeOnce.Do(func() {
+		f := c.server
 		f.mu.Lock()
-		if at := slices.Index(f.clients, c); at >= 0 {
-			f.clients = slices.Delete(f.clients, at, at+1)
+		if at := slices.Index(f.connections, c); at >= 0 {
+			f.connections = slices.Delete(f.connections, at, at+1)
 		}
 		f.mu.Unlock()
 		c.Conn.Close()
 		c.mu.Lock()
-		c.shut = true
-		c.release()
+		c.closing = true
+		c.releasePlace()
 		c.mu.Unlock()
 	})
 	return nil
@@ -415,50 +417,50 @@
 
 // begin takes a connection over from redcon, so that a client that leaves is seen while its command is in
 // hand, and a listener that closes takes no connection along.
-func (f *ClientServer) begin(conn redcon.Conn, _ redcon.Command) {
-	c := conn.NetConn().(*client)
+func (f *ClientServer) takeOver(conn redcon.Conn, _ redcon.Command) {
+	c := conn.NetConn().(*clientConnection)
 	conn.Detach()
-	go newSession(c).read()
+	go newClientSession(c).readRequests()
 }
 
 // Drain closes the connections of clients as each has no command in hand. New ones are served all the same:
 // a client sends again what crossed the end of its connection.
 func (f *ClientServer) Drain() {
 	f.mu.Lock()
-	f.closing = true
+	f.draining = true
 	f.mu.Unlock()
-	for _, c := range f.all() {
-		if !c.endQuiet(bringsWithin, true, true) { // one that is new may still bring its first
-			c.endLater()
+	for _, c := range f.snapshot() {
+		if !c.closeIfIdle(nextRequestWindow, true, true) { // one that is new may still bring its first
+			c.closeIfIdleLater()
 		}
 	}
 }
 
 // all gives the connections, the longest quiet first.
-func (f *ClientServer) all() []*client {
+func (f *ClientServer) snapshot() []*clientConnection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.clients)
+	return slices.Clone(f.connections)
 }
 
-func (f *ClientServer) isClosing() bool {
+func (f *ClientServer) isDraining() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.closing
+	return f.draining
 }
 
 // AwaitDisconnects waits until every client's connection has ended and none has come for a while, but no longer than so
 // long, and tells how many are left.
 func (f *ClientServer) AwaitDisconnects(within time.Duration) int {
 	begun := time.Now()
-	for last := begun; ; time.Sleep(acceptAgain) {
+	for last := begun; ; time.Sleep(shortageRetryDelay) {
 		f.mu.Lock()
-		n := len(f.clients)
+		n := len(f.connections)
 		f.mu.Unlock()
 		if n > 0 {
 			last = time.Now()
 		}
-		if time.Since(last) > bringsWithin || time.Since(begun) > within {
+		if time.Since(last) > nextRequestWindow || time.Since(begun) > within {
 			return n
 		}
 	}
@@ -466,16 +468,16 @@
 
 // closeIdle closes a connection that has brought nothing, or else the one that has been quiet for longest.
 func (f *ClientServer) closeIdle() bool {
-	all := f.all()
-	return slices.ContainsFunc(all, (*client).endNew) ||
-		slices.ContainsFunc(all, func(c *client) bool { return c.endQuiet(newWithin, true, false) })
+	all := f.snapshot()
+	return slices.ContainsFunc(all, (*clientConnection).closeIfUnused) ||
+		slices.ContainsFunc(all, func(c *clientConnection) bool { return c.closeIfIdle(minIdleBeforeReclaim, true, false) })
 }
 
 // crowded tells whether some have brought nothing yet: they will make room soon, by a command or their end.
-func (f *ClientServer) crowded() bool {
-	return slices.ContainsFunc(f.all(), func(c *client) bool {
+func (f *ClientServer) hasUnusedConnection() bool {
+	return slices.ContainsFunc(f.snapshot(), func(c *clientConnection) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.within && !c.brought
+		return c.hasDescriptor && !c.hasRequested
 	})
 }
--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -13,107 +13,107 @@
 )
 
 const (
-	inHandMost = 32                     // commands of one connection that wait for their answers
-	answerFor  = 5 * time.Second        // a client that takes no answer for so long is cut off
-	faultPause = 100 * time.Millisecond // what a client brings next after a fault of its own is read this late
-	passedMost = 1 << 20                // bytes passed over after a lost framing, to see the client leave
+	maxPipelinedRequests  = 32                     // commands of one connection that wait for their answers
+	responseWriteTimeout  = 5 * time.Second        // a client that takes no answer for so long is cut off
+	malformedRequestDelay = 100 * time.Millisecond // what a client brings next after a fault of its own is read this late
+	maxDiscardedBytes     = 1 << 20                // bytes passed over after a lost framing, to see the client leave
 )
 
 // session is a client's connection: its reader tells of commands and of the client's leaving, its writer, from
 // the first command on, brings the answers in the order of the commands.
-type session struct {
-	client  *client
-	answers chan *PendingResponse
-	left    chan struct{} // closed when the client has left
-	cut     chan struct{} // closed when no more answers go out
+type clientSession struct {
+	connection   *clientConnection
+	responses    chan *PendingResponse
+	disconnected chan struct{} // closed when the client has left
+	writerDone   chan struct{} // closed when no more answers go out
 }
 
 // PendingResponse is the place of a command's final answer.
 type PendingResponse struct {
-	once sync.Once
-	done chan struct{}
-	text net.Buffers
-	size int64 // of its command
+	once         sync.Once
+	done         chan struct{}
+	payload      net.Buffers
+	requestBytes int64 // of its command
 }
 
-func (a *PendingResponse) end(parts ...[]byte) {
+func (a *PendingResponse) complete(parts ...[]byte) {
 	a.once.Do(func() {
-		a.text = parts
+		a.payload = parts
 		close(a.done)
 	})
 }
 
 // Acked gives the value that an instance gave.
 func (a *PendingResponse) Acked(value []byte) {
-	a.end(protocol.BulkHead(len(value)), value, protocol.End)
+	a.complete(protocol.BulkHead(len(value)), value, protocol.End)
 }
 
 // Nacked tells that trying again is harmless, and when to, if there is such a time.
 func (a *PendingResponse) Nacked(after time.Duration) {
-	a.end(redcon.AppendError(nil, protocol.Refused(after)))
+	a.complete(redcon.AppendError(nil, protocol.Refused(after)))
 }
 
 // Failed promises nothing.
-func (a *PendingResponse) Failed() { a.end(redcon.AppendError(nil, protocol.Failed)) }
+func (a *PendingResponse) Failed() { a.complete(redcon.AppendError(nil, protocol.Failed)) }
 
 // refuse answers what cannot be taken as a command.
-func (f *ClientServer) refuse(a *PendingResponse, why string) {
-	a.end(redcon.AppendError(nil, "ERR "+why))
-	f.complaints.Warn("a client sent what cannot be taken", "cause", why)
+func (f *ClientServer) rejectMalformed(a *PendingResponse, why string) {
+	a.complete(redcon.AppendError(nil, "ERR "+why))
+	f.log.Warn("a client sent what cannot be taken", "cause", why)
 }
 
-func newSession(c *client) *session {
-	return &session{client: c, answers: make(chan *PendingResponse, inHandMost), left: make(chan struct{}),
-		cut: make(chan struct{})}
+func newClientSession(c *clientConnection) *clientSession {
+	return &clientSession{connection: c, responses: make(chan *PendingResponse, maxPipelinedRequests), disconnected: make(chan struct{}),
+		writerDone: make(chan struct{})}
 }
 
 // read takes the client's commands in, in their order. A client that brings what cannot be taken is answered
 // at once, and read on later; one that loses its framing, or brings too much at once, is read no more: it gets
 // the answers that it is owed, and its end.
-func (s *session) read() {
-	c, f := s.client, s.client.front
+func (s *clientSession) readRequests() {
+	c, f := s.connection, s.connection.server
 	var inHand []*PendingResponse
 	writing := false
-	for !c.lost {
-		cmd, fault, err := c.next()
+	for !c.framingLost {
+		cmd, fault, err := c.readRequest()
 		if err != nil {
 			break
 		}
 		if !writing {
 			writing = true
-			go s.write()
+			go s.writeResponses()
 		}
-		if inHand = slices.DeleteFunc(inHand, (*PendingResponse).isDone); len(inHand) >= inHandMost {
-			c.lost, fault = true, "too many commands at once"
+		if inHand = slices.DeleteFunc(inHand, (*PendingResponse).isDone); len(inHand) >= maxPipelinedRequests {
+			c.framingLost, fault = true, "too many commands at once"
 		}
-		a := &PendingResponse{done: make(chan struct{}), size: int64(len(cmd.Raw))}
-		f.room.Acquire(context.Background(), a.size) // others' answers make room
+		a := &PendingResponse{done: make(chan struct{}), requestBytes: int64(len(cmd.Raw))}
+		f.requestBytes.Acquire(context.Background(), a.requestBytes) // others' answers make room
 		select {
-		case s.answers <- a:
-		case <-s.cut:
-			f.room.Release(a.size)
+		case s.responses <- a:
+		case <-s.writerDone:
+			f.requestBytes.Release(a.requestBytes)
 		}
 		inHand = append(inHand, a)
 		if fault == "" {
-			fault = f.command(cmd, a, c.admit())
+			fault = f.dispatch(cmd, a, c.ensureDescriptor())
 		}
 		if fault != "" {
-			f.refuse(a, fault)
-			if !c.lost {
-				time.Sleep(faultPause)
+			f.rejectMalformed(a, fault)
+			if !c.framingLost {
+				time.Sleep(malformedRequestDelay)
 			}
 		}
 	}
-	close(s.answers)
-	if c.lost && !c.leaves() {
+	close(s.responses)
+	if c.framingLost && !c.awaitDisconnect() {
 		return // the client has got the answers that it was owed, or goes on sending without end
 	}
-	if close(s.left); !writing {
+	if close(s.disconnected); !writing {
 		c.Close()
 	}
 	for _, a := range inHand {
 		if !a.isDone() {
-			f.gone(a)
+			f.onDisconnect(a)
 		}
 	}
 }
@@ -129,20 +129,20 @@
 
 // command takes one command in, or tells why it cannot. One for which there is no room has no time left: it
 // gets its final answer.
-func (f *ClientServer) command(cmd redcon.Command, a *PendingResponse, room bool) (fault string) {
+func (f *ClientServer) dispatch(cmd redcon.Command, a *PendingResponse, room bool) (fault string) {
 	switch string(cmd.Args[0]) {
 	case "API.READ", "API.WRITE":
-		request, err := protocol.ParseRequest(cmd.Args, f.ops)
+		request, err := protocol.ParseRequest(cmd.Args, f.opTypes)
 		if err != nil {
 			return err.Error()
 		}
 		if !room {
 			request.Remaining = 0
 		}
-		request.Remaining = min(request.Remaining, f.longest)
-		f.take(request, a)
+		request.Remaining = min(request.Remaining, f.maxRemaining)
+		f.onRequest(request, a)
 	case "PING":
-		a.end(redcon.AppendString(nil, "PONG"))
+		a.complete(redcon.AppendString(nil, "PONG"))
 	default:
 		return "unknown command"
 	}
@@ -150,32 +150,32 @@
 }
 
 // write brings the answers out until the client has left or takes none.
-func (s *session) write() {
+func (s *clientSession) writeResponses() {
 	defer func() {
-		close(s.cut)
-		s.client.Close()
-		for a := range s.answers { // until the reader has seen the end
-			s.client.front.room.Release(a.size)
+		close(s.writerDone)
+		s.connection.Close()
+		for a := range s.responses { // until the reader has seen the end
+			s.connection.server.requestBytes.Release(a.requestBytes)
 		}
 	}()
-	for a := range s.answers {
-		ok := s.bring(a)
-		s.client.front.room.Release(a.size)
+	for a := range s.responses {
+		ok := s.writeResponse(a)
+		s.connection.server.requestBytes.Release(a.requestBytes)
 		if !ok {
 			return
 		}
-		s.client.free()
+		s.connection.finishRequest()
 	}
 }
 
 // bring waits for an answer and writes it; it tells whether the client took it.
-func (s *session) bring(a *PendingResponse) bool {
+func (s *clientSession) writeResponse(a *PendingResponse) bool {
 	select {
 	case <-a.done:
-	case <-s.left:
+	case <-s.disconnected:
 		return false
 	}
-	s.client.SetWriteDeadline(time.Now().Add(answerFor))
-	_, err := a.text.WriteTo(s.client.Conn)
+	s.connection.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	_, err := a.payload.WriteTo(s.connection.Conn)
 	return err == nil
 }
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -17,29 +17,29 @@
 
 // DiscoveryClient watches the list of instances.
 type DiscoveryClient struct {
-	config   DiscoveryClientConfig
-	client   *http.Client
-	wait     time.Duration
-	revision int64
-	anew     bool // the next call asks for all, from no revision on: discovery has come back with an older list
-	watching atomic.Bool
+	config      DiscoveryClientConfig
+	client      *http.Client
+	maxWait     time.Duration
+	revision    int64
+	requestFull bool // the next call asks for all, from no revision on: discovery has come back with an older list
+	watching    atomic.Bool
 
-	mu      sync.Mutex
-	address string
-	leave   context.CancelFunc // ends the present call
+	mu         sync.Mutex
+	address    string
+	cancelPoll context.CancelFunc // ends the present call
 }
 
 const (
 	// A call that goes unanswered tells so no sooner than after its wait: a third of that is by lot, so that gateways
 	// whose watches fall silent at once find out, and call again, one after the other. With the grace, and two pauses
 	// of the module where the first new call is turned away, that is within the 6 s that a silent watch is excused.
-	waitMost       = 2400 * time.Millisecond
-	waitLot        = 3
-	graceAfterWait = 1200 * time.Millisecond // after its wait an answer may still come: discovery takes calls in turn
+	longPollLimit     = 2400 * time.Millisecond
+	waitJitterDivisor = 3
+	responseGrace     = 1200 * time.Millisecond // after its wait an answer may still come: discovery takes calls in turn
 	// The first call of a watch asks for an answer at once: until one has come the list is not confirmed.
-	waitFirst  = time.Millisecond
-	moreWithin = 500 * time.Millisecond // after any of its bytes an answer goes on, or never does
-	keepAgain  = 400 * time.Millisecond // after a failed call, and up to half as much less or more by lot: what a local agent has counts as told at once
+	firstPollWait        = time.Millisecond
+	responseStallTimeout = 500 * time.Millisecond // after any of its bytes an answer goes on, or never does
+	watchRetryDelay      = 400 * time.Millisecond // after a failed call, and up to half as much less or more by lot: what a local agent has counts as told at once
 )
 
 // DiscoveryClientConfig is what a DiscoveryClient needs. All fields but Revision are required. The callbacks are
@@ -78,11 +78,11 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	wait := min(config.MaxWait, waitMost)
-	return &DiscoveryClient{config: config, address: config.Address, wait: wait, revision: config.Revision,
-		leave: func() {},
+	wait := min(config.MaxWait, longPollLimit)
+	return &DiscoveryClient{config: config, address: config.Address, maxWait: wait, revision: config.Revision,
+		cancelPoll: func() {},
 		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true},
-			Timeout: wait + graceAfterWait}}, nil
+			Timeout: wait + responseGrace}}, nil
 }
 
 // StartWatch asks for the changes from here on, unless a watch stands. It does not wait; a watch ends when a call
@@ -105,7 +105,7 @@
 	for ctx.Err() == nil {
 		d.config.OnFailure(d.watch(ctx))
 		select {
-		case <-time.After(keepAgain/2 + d.config.Random.Time(keepAgain)):
+		case <-time.After(watchRetryDelay/2 + d.config.Random.Time(watchRetryDelay)):
 		case <-ctx.Done():
 		}
 	}
@@ -120,7 +120,7 @@
 		return false
 	}
 	d.address = address
-	d.leave()
+	d.cancelPoll()
 	return true
 }
 
@@ -133,10 +133,10 @@
 		call, leave := context.WithCancel(ctx)
 		d.mu.Lock()
 		address := d.address
-		d.leave = leave
+		d.cancelPoll = leave
 		d.mu.Unlock()
 		since := time.Now()
-		begun, err := d.call(call, leave, address, first)
+		begun, err := d.poll(call, leave, address, first)
 		leave()
 		if err != nil {
 			err = &protocol.CallError{Revision: d.revision, Took: time.Since(since), Begun: begun, Cause: err}
@@ -156,22 +156,22 @@
 // up soon: the connection may stand for ever. One that goes on slowly, to a gateway short of processor time say,
 // is read until the call's whole time is over. To leave a call that has ended does nothing. It tells whether a list
 // had begun to come that was not taken in.
-func (d *DiscoveryClient) call(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
+func (d *DiscoveryClient) poll(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
 	var answering atomic.Bool
-	wait := d.wait - d.config.Random.Time(d.wait/waitLot)
-	stalled := time.AfterFunc(wait+graceAfterWait, leave)
+	wait := d.maxWait - d.config.Random.Time(d.maxWait/waitJitterDivisor)
+	stalled := time.AfterFunc(wait+responseGrace, leave)
 	defer stalled.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
 		answering.Store(true)
-		stalled.Reset(moreWithin)
+		stalled.Reset(responseStallTimeout)
 	}})
-	anew := d.anew
+	anew := d.requestFull
 	url := fmt.Sprintf("http://%s/discovery/hosts", address)
 	asked := wait
 	if first {
-		asked = waitFirst
+		asked = firstPollWait
 	}
-	if d.anew = false; !anew {
+	if d.requestFull = false; !anew {
 		url += fmt.Sprintf("?after=%d&wait_ms=%d", d.revision, asked.Milliseconds())
 	}
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -187,7 +187,7 @@
 		return false, fmt.Errorf("discovery answered %s", answer.Status)
 	}
 	d.config.OnListStart()
-	text, err := io.ReadAll(io.LimitReader(&going{answer.Body, stalled}, protocol.ListMost))
+	text, err := io.ReadAll(io.LimitReader(&stallResettingReader{answer.Body, stalled}, protocol.ListMost))
 	if err != nil {
 		return true, err
 	}
@@ -195,20 +195,20 @@
 	if err == nil {
 		d.revision = revision
 	}
-	d.anew = errors.Is(err, protocol.ErrOlder)
-	return err != nil && !d.anew, err
+	d.requestFull = errors.Is(err, protocol.ErrOlder)
+	return err != nil && !d.requestFull, err
 }
 
 // going puts the end of a call off with each of its bytes.
-type going struct {
+type stallResettingReader struct {
 	io.Reader
 	stalled *time.Timer
 }
 
-func (g *going) Read(p []byte) (int, error) {
+func (g *stallResettingReader) Read(p []byte) (int, error) {
 	n, err := g.Reader.Read(p)
 	if n > 0 && err == nil {
-		g.stalled.Reset(moreWithin)
+		g.stalled.Reset(responseStallTimeout)
 	}
 	return n, err
 }
--- a/internal/transport/peer_socket.go
+++ b/internal/transport/peer_socket.go
@@ -11,33 +11,33 @@
 
 // PeerSocket carries datagrams between gateways.
 type PeerSocket struct {
-	conn  *net.UDPConn
-	each  []netip.AddrPort
-	all   netip.AddrPort
-	posts chan post
+	conn      *net.UDPConn
+	peers     []netip.AddrPort
+	broadcast netip.AddrPort
+	outgoing  chan datagram
 }
 
-type post struct {
-	to   netip.AddrPort
-	text []byte
+type datagram struct {
+	to      netip.AddrPort
+	payload []byte
 }
 
-const postsMost = 1024 // datagrams that wait to be sent; a further one is lost, as any may be
+const maxOutgoingDatagrams = 1024 // datagrams that wait to be sent; a further one is lost, as any may be
 
 // NewPeerSocket listens for datagrams at an address. The gateways' addresses stand in the order of their numbers;
 // the one of all of them may be empty.
 func NewPeerSocket(listen string, each []string, all string) (*PeerSocket, error) {
-	p := &PeerSocket{posts: make(chan post, postsMost)}
+	p := &PeerSocket{outgoing: make(chan datagram, maxOutgoingDatagrams)}
 	for _, one := range each {
 		at, err := netip.ParseAddrPort(one)
 		if err != nil {
 			return nil, err
 		}
-		p.each = append(p.each, at)
+		p.peers = append(p.peers, at)
 	}
 	if all != "" {
 		var err error
-		if p.all, err = netip.ParseAddrPort(all); err != nil {
+		if p.broadcast, err = netip.ParseAddrPort(all); err != nil {
 			return nil, err
 		}
 	}
@@ -51,18 +51,18 @@
 
 // Send sends a datagram to one gateway, or to all where its number is below 0. It does not wait.
 func (p *PeerSocket) Send(to int, text []byte) {
-	if len(text) > protocol.DatagramMost || to >= len(p.each) {
+	if len(text) > protocol.DatagramMost || to >= len(p.peers) {
 		return
 	}
-	some := p.each
+	some := p.peers
 	if to >= 0 {
-		some = p.each[to : to+1]
-	} else if p.all.IsValid() {
-		some = []netip.AddrPort{p.all}
+		some = p.peers[to : to+1]
+	} else if p.broadcast.IsValid() {
+		some = []netip.AddrPort{p.broadcast}
 	}
 	for _, at := range some {
 		select {
-		case p.posts <- post{at, text}:
+		case p.outgoing <- datagram{at, text}:
 		default:
 		}
 	}
@@ -75,15 +75,15 @@
 	go func() {
 		for {
 			select {
-			case one := <-p.posts:
-				p.conn.WriteToUDPAddrPort(one.text, one.to) // what is lost is lost
+			case one := <-p.outgoing:
+				p.conn.WriteToUDPAddrPort(one.payload, one.to) // what is lost is lost
 			case <-done:
 				return
 			}
 		}
 	}()
 	numbers := map[netip.AddrPort]int{}
-	for i, at := range p.each {
+	for i, at := range p.peers {
 		numbers[at] = i
 	}
 	b := make([]byte, protocol.DatagramMost+1)
@@ -93,7 +93,7 @@
 			return
 		} else if err != nil {
 			complaints.Warn("a datagram could not be read", "cause", err)
-			time.Sleep(acceptAgain) // the machine may be short of something for a while
+			time.Sleep(shortageRetryDelay) // the machine may be short of something for a while
 			continue
 		}
 		number, ok := numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
--- a/internal/transport/rate_limited_log.go
+++ b/internal/transport/rate_limited_log.go
@@ -8,25 +8,25 @@
 
 // RateLimitedLog logs bad input, each kind of it once in a while at most.
 type RateLimitedLog struct {
-	mu   sync.Mutex
-	last map[string]time.Time
-	kept map[string]int // not logged since
+	mu         sync.Mutex
+	loggedAt   map[string]time.Time
+	suppressed map[string]int // not logged since
 }
 
-const complainEvery = 5 * time.Second
+const repeatInterval = 5 * time.Second
 
 // Warn logs what was wrong with what a party sent.
 func (c *RateLimitedLog) Warn(kind string, about ...any) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last == nil {
-		c.last, c.kept = map[string]time.Time{}, map[string]int{}
+	if c.loggedAt == nil {
+		c.loggedAt, c.suppressed = map[string]time.Time{}, map[string]int{}
 	}
-	if now.Sub(c.last[kind]) < complainEvery {
-		c.kept[kind]++
+	if now.Sub(c.loggedAt[kind]) < repeatInterval {
+		c.suppressed[kind]++
 		return
 	}
-	slog.Warn(kind, append(about, "like it since the last", c.kept[kind])...)
-	c.last[kind], c.kept[kind] = now, 0
+	slog.Warn(kind, append(about, "like it since the last", c.suppressed[kind])...)
+	c.loggedAt[kind], c.suppressed[kind] = now, 0
 }
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -14,25 +14,25 @@
 
 // RolloutClient keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
 type RolloutClient struct {
-	config RolloutClientConfig
-	votes  chan decision.Vote
-	moved  chan struct{} // holds one once the address has changed
-	number int           // of the last call
-	heard  int           // the last call to listen that was answered
+	config             RolloutClientConfig
+	votes              chan decision.Vote
+	addressChanged     chan struct{} // holds one once the address has changed
+	lastCallID         int           // of the last call
+	lastAnsweredListen int           // the last call to listen that was answered
 
 	mu      sync.Mutex
 	address string
 }
 
 const (
-	votesMost  = 4                       // votes that wait to be cast; the module casts one at a time
-	silentFor  = 3500 * time.Millisecond // a sign of life comes every second
-	lineWithin = 500 * time.Millisecond  // a line that has begun is whole, or is never
-	leaveFor   = time.Second             // an address that is left is still heard for votes in hand
-	deskFirst  = 300 * time.Millisecond  // the first connection comes within this, by lot: fleets start at once
-	deskAgain  = 100 * time.Millisecond  // between two connections, and as much more by lot
-	deskMost   = 800 * time.Millisecond  // the same where one after the other fails
-	deskWithin = time.Second             // for a connection to come up
+	maxQueuedVotes           = 4                       // votes that wait to be cast; the module casts one at a time
+	silenceTimeout           = 3500 * time.Millisecond // a sign of life comes every second
+	lineTimeout              = 500 * time.Millisecond  // a line that has begun is whole, or is never
+	oldAddressGrace          = time.Second             // an address that is left is still heard for votes in hand
+	maxInitialDelay          = 300 * time.Millisecond  // the first connection comes within this, by lot: fleets start at once
+	minReconnectDelay        = 100 * time.Millisecond  // between two connections, and as much more by lot
+	maxReconnectDelay        = 800 * time.Millisecond  // the same where one after the other fails
+	controllerConnectTimeout = time.Second             // for a connection to come up
 )
 
 // RolloutClientConfig is what a RolloutClient needs. All fields are required. The callbacks are called one at a
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	return &RolloutClient{config: config, address: config.Address,
-		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}, nil
+		votes: make(chan decision.Vote, maxQueuedVotes), addressChanged: make(chan struct{}, 1)}, nil
 }
 
 // SetAddress has the platform heard at another address. Votes in hand are waited for where they were cast; those
@@ -82,13 +82,13 @@
 	d.mu.Unlock()
 	if changed {
 		select {
-		case d.moved <- struct{}{}:
+		case d.addressChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (d *RolloutClient) at() string {
+func (d *RolloutClient) currentAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
@@ -106,34 +106,34 @@
 // Run keeps the connection until the context ends. One that was heard is replaced soon, one after another
 // that is not, later each time.
 func (d *RolloutClient) Run(ctx context.Context) {
-	d.rest(ctx, d.config.Random.Time(deskFirst))
-	for pause := deskAgain; ctx.Err() == nil; {
-		number := d.number + 1
-		address := d.at()
-		conn, err := (&net.Dialer{Timeout: deskWithin}).DialContext(ctx, "tcp", address)
+	d.waitToReconnect(ctx, d.config.Random.Time(maxInitialDelay))
+	for pause := minReconnectDelay; ctx.Err() == nil; {
+		number := d.lastCallID + 1
+		address := d.currentAddress()
+		conn, err := (&net.Dialer{Timeout: controllerConnectTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			err = d.serve(ctx, address, conn)
 		}
-		if err == nil || d.heard >= number {
-			pause = deskAgain
+		if err == nil || d.lastAnsweredListen >= number {
+			pause = minReconnectDelay
 		}
 		if err == nil { // left for another address
 			continue
 		}
 		d.config.OnDisconnected(address, err)
-		d.rest(ctx, pause+d.config.Random.Time(pause))
-		pause = min(2*pause, deskMost)
+		d.waitToReconnect(ctx, pause+d.config.Random.Time(pause))
+		pause = min(2*pause, maxReconnectDelay)
 	}
 }
 
 // rest waits before the next connection, unless the address changes. Votes meanwhile are not carried out.
-func (d *RolloutClient) rest(ctx context.Context, pause time.Duration) {
+func (d *RolloutClient) waitToReconnect(ctx context.Context, pause time.Duration) {
 	again := time.After(pause)
 	for {
 		select {
 		case <-d.votes:
 			d.config.OnVoteResult(decision.OutcomeConnectFailed)
-		case <-d.moved:
+		case <-d.addressChanged:
 			return
 		case <-again:
 			return
@@ -144,15 +144,15 @@
 }
 
 // waiting is a vote whose answer is to come.
-type waiting struct {
-	id int
-	at time.Time // when it is no longer waited for
+type pendingVote struct {
+	id       int
+	deadline time.Time // when it is no longer waited for
 }
 
 // serve listens and votes on one connection until it ends or falls silent; no error says that it was left for
 // another address, or that the context has ended.
 func (d *RolloutClient) serve(ctx context.Context, address string, conn net.Conn) error {
-	var votes []waiting
+	var votes []pendingVote
 	defer func() {
 		conn.Close()
 		for range votes {
@@ -162,11 +162,11 @@
 	lines, broken, done := make(chan []byte), make(chan error, 1), make(chan struct{})
 	defer close(done)
 	go readLines(conn, lines, broken, done)
-	d.number++
-	if _, err := conn.Write(protocol.Listen(d.number)); err != nil {
+	d.lastCallID++
+	if _, err := conn.Write(protocol.Listen(d.lastCallID)); err != nil {
 		return err
 	}
-	listening, alive := d.number, time.Now()
+	listening, alive := d.lastCallID, time.Now()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	cast, leaveAt := d.votes, time.Time{}
@@ -175,13 +175,13 @@
 			return nil
 		}
 		select {
-		case <-d.moved:
-			cast, leaveAt = nil, time.Now().Add(leaveFor)
+		case <-d.addressChanged:
+			cast, leaveAt = nil, time.Now().Add(oldAddressGrace)
 		case line := <-lines:
 			alive = time.Now()
 			err := protocol.ParseControllerLine(line, protocol.ControllerEvents{Status: d.config.OnStatus, Answered: func(id int, how decision.Outcome) {
 				if id == listening {
-					d.heard = id
+					d.lastAnsweredListen = id
 					d.config.OnConnected(address)
 				}
 				for i, v := range votes {
@@ -196,23 +196,23 @@
 				return err
 			}
 		case v := <-cast:
-			d.number++
-			text := protocol.Ballot(d.number, v)
+			d.lastCallID++
+			text := protocol.Ballot(d.lastCallID, v)
 			conn.SetWriteDeadline(time.Now().Add(d.config.VoteTimeout))
 			if n, err := conn.Write(text); n < len(text) {
 				d.config.OnVoteResult(decision.OutcomeConnectFailed)
 				return err
 			}
-			votes = append(votes, waiting{d.number, time.Now().Add(d.config.VoteTimeout)})
+			votes = append(votes, pendingVote{d.lastCallID, time.Now().Add(d.config.VoteTimeout)})
 		case now := <-tick.C:
-			for len(votes) > 0 && now.After(votes[0].at) {
+			for len(votes) > 0 && now.After(votes[0].deadline) {
 				votes = votes[1:]
 				d.config.OnVoteResult(decision.OutcomeTimeout)
 			}
 			if cast == nil && now.After(leaveAt) {
 				return nil
 			}
-			if now.Sub(alive) > silentFor {
+			if now.Sub(alive) > silenceTimeout {
 				return errSilent
 			}
 		case err := <-broken:
@@ -249,7 +249,7 @@
 		}
 		late := time.Time{}
 		if len(b.Bytes()) > 0 {
-			late = time.Now().Add(lineWithin)
+			late = time.Now().Add(lineTimeout)
 		}
 		conn.SetReadDeadline(late)
 	}
