--- /dev/null
+++ b/internal/transport/client_connection.go
@@ -0,0 +1,188 @@
+package transport
+
+import (
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"laurelring/internal/protocol"
+)
+
+// clientConnection is one connection of a client. It ends in Close, which alone gives its place back.
+type clientConnection struct {
+	net.Conn
+	server *ClientServer
+
+	// Only the goroutine that reads the connection touches these.
+	buffer       *protocol.Buffer
+	framing      protocol.Commands
+	handedOver   bool      // redcon has read handoverCommand
+	partialSince time.Time // since when an incomplete request has been in the buffer; zero if there is none
+	framingLost  bool      // no further request can be read
+
+	mu            sync.Mutex
+	pending       int       // requests read and not yet answered
+	hasRequested  bool      // a request has been read
+	partial       bool      // an incomplete request is in the buffer
+	lastActive    time.Time // when it was accepted or a response was written last
+	closing       bool      // no further request is accepted
+	hasDescriptor bool      // it is within the descriptor limit, not in overflow
+	releasePlace  func()    // gives back its descriptor, or its place in overflow
+	closeOnce     sync.Once
+}
+
+// connectionScope says which connections may be closed.
+type connectionScope uint8
+
+const (
+	withinLimit   connectionScope = 1 << iota // those that hold a descriptor of the budget
+	overflow                                  // those beyond the descriptor limit
+	anyConnection = withinLimit | overflow
+)
+
+// includes reports whether a connection with or without a descriptor of the budget may be closed.
+func (s connectionScope) includes(hasDescriptor bool) bool {
+	if hasDescriptor {
+		return s&withinLimit != 0
+	}
+	return s&overflow != 0
+}
+
+// ensureDescriptor reports whether the connection holds a descriptor of the budget. One in overflow takes one if
+// one has become free.
+func (c *clientConnection) ensureDescriptor() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.hasDescriptor && !c.closing && c.server.quota.tryAcquire() {
+		c.releasePlace()
+		c.hasDescriptor, c.releasePlace = true, c.server.quota.release
+	}
+	return c.hasDescriptor
+}
+
+// beginRequest counts a request that was read. It returns false once the connection is being closed: no further
+// request is accepted then.
+func (c *clientConnection) beginRequest() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.partial = false
+	if c.closing {
+		return false
+	}
+	c.pending++
+	c.hasRequested = true
+	return true
+}
+
+// finishRequest counts a request whose response was written.
+func (c *clientConnection) finishRequest() {
+	c.mu.Lock()
+	c.pending--
+	c.lastActive = time.Now()
+	hasDescriptor := c.hasDescriptor
+	c.mu.Unlock()
+	if c.server.markActive(c) {
+		c.closeIfIdle(0, anyConnection)
+	} else if !hasDescriptor {
+		c.closeIfIdleLater()
+	}
+}
+
+// closeIfIdleLater closes the connection if it is idle after a while, and the server is draining or the connection
+// is in overflow.
+func (c *clientConnection) closeIfIdleLater() {
+	time.AfterFunc(nextRequestWindow, func() {
+		scope := overflow
+		if c.server.isDraining() {
+			scope = anyConnection
+		}
+		c.closeIfIdle(nextRequestWindow, scope)
+	})
+}
+
+// closeIfUnused closes a connection within the limit that has not sent a request for a while since it was accepted.
+func (c *clientConnection) closeIfUnused() bool {
+	return !c.usedBefore() && c.closeIfIdle(minIdleBeforeReclaim, withinLimit)
+}
+
+func (c *clientConnection) usedBefore() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hasRequested
+}
+
+// closeIfIdle closes the connection if it is within the scope, has no request waiting and has been idle for at least
+// minIdle. One on which a request is arriving stays, unless it would be the first one and descriptors are short.
+func (c *clientConnection) closeIfIdle(minIdle time.Duration, scope connectionScope) bool {
+	draining := c.server.isDraining()
+	c.mu.Lock()
+	idle := !c.closing && c.pending == 0 && scope.includes(c.hasDescriptor) && time.Since(c.lastActive) >= minIdle
+	if idle && (c.hasRequested || draining) {
+		idle = !c.partial && !c.hasUnreadBytes()
+	}
+	c.closing = c.closing || idle
+	c.mu.Unlock()
+	if !idle {
+		return false
+	}
+	reason := "idle"
+	if draining {
+		reason = "shutting down"
+	}
+	slog.Debug("client connection closed", "client", c.RemoteAddr(), "reason", reason)
+	c.resetOnClose()
+	c.Close()
+	return true
+}
+
+// hasUnreadBytes reports whether bytes of the client wait to be read.
+func (c *clientConnection) hasUnreadBytes() bool {
+	conn, ok := c.Conn.(*net.TCPConn)
+	if !ok {
+		return false
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	n, err := peekByte(raw)
+	return err == nil && n > 0
+}
+
+// resetOnClose has the connection end in a reset if the client has acknowledged all responses. A reset proves to a
+// client that a request that it sent meanwhile was not read, so that it may send it again; an orderly end behind a
+// complete request would not. But no reset may overtake a response.
+func (c *clientConnection) resetOnClose() {
+	conn, ok := c.Conn.(*net.TCPConn)
+	if !ok {
+		return
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return
+	}
+	acknowledged := false
+	raw.Control(func(fd uintptr) {
+		unsent, err := unix.IoctlGetInt(int(fd), unix.TIOCOUTQ)
+		acknowledged = err == nil && unsent == 0
+	})
+	if acknowledged {
+		conn.SetLinger(0)
+	}
+}
+
+// Close closes the connection and gives its place back, once.
+func (c *clientConnection) Close() error {
+	c.closeOnce.Do(func() {
+		c.server.remove(c)
+		c.Conn.Close()
+		c.mu.Lock()
+		c.closing = true
+		c.releasePlace()
+		c.mu.Unlock()
+	})
+	return nil
+}
--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -2,9 +2,8 @@
 
 import (
 	"context"
-	"net"
+	"errors"
 	"slices"
-	"sync"
 	"time"
 
 	"github.com/tidwall/redcon"
@@ -13,169 +12,159 @@
 )
 
 const (
-	maxPipelinedRequests  = 32                     // commands of one connection that wait for their answers
-	responseWriteTimeout  = 5 * time.Second        // a client that takes no answer for so long is cut off
-	malformedRequestDelay = 100 * time.Millisecond // what a client brings next after a fault of its own is read this late
-	maxDiscardedBytes     = 1 << 20                // bytes passed over after a lost framing, to see the client leave
+	maxPipelinedRequests = 32              // of one connection that wait for their responses
+	responseWriteTimeout = 5 * time.Second // a client that does not read its responses is cut off
+	// malformedRequestDelay is the pause before a connection is read again after a malformed request, so that a
+	// client that sends the same again and again costs little.
+	malformedRequestDelay = 100 * time.Millisecond
 )
 
-// session is a client's connection: its reader tells of commands and of the client's leaving, its writer, from
-// the first command on, brings the answers in the order of the commands.
+// clientSession serves one connection with two goroutines: its reader passes requests on and sees the client
+// disconnect; its writer, from the first request on, writes the responses in the order of the requests.
 type clientSession struct {
 	connection   *clientConnection
 	responses    chan *PendingResponse
-	disconnected chan struct{} // closed when the client has left
-	writerDone   chan struct{} // closed when no more answers go out
-}
-
-// PendingResponse is the place of a command's final answer.
-type PendingResponse struct {
-	once         sync.Once
-	done         chan struct{}
-	payload      net.Buffers
-	requestBytes int64 // of its command
-}
-
-func (a *PendingResponse) complete(parts ...[]byte) {
-	a.once.Do(func() {
-		a.payload = parts
-		close(a.done)
-	})
-}
-
-// Acked gives the value that an instance gave.
-func (a *PendingResponse) Acked(value []byte) {
-	a.complete(protocol.BulkHead(len(value)), value, protocol.End)
-}
-
-// Nacked tells that trying again is harmless, and when to, if there is such a time.
-func (a *PendingResponse) Nacked(after time.Duration) {
-	a.complete(redcon.AppendError(nil, protocol.Refused(after)))
-}
-
-// Failed promises nothing.
-func (a *PendingResponse) Failed() { a.complete(redcon.AppendError(nil, protocol.Failed)) }
+	disconnected chan struct{} // closed when the client has disconnected
+	writerDone   chan struct{} // closed when no more responses are written
 
-// refuse answers what cannot be taken as a command.
-func (f *ClientServer) rejectMalformed(a *PendingResponse, why string) {
-	a.complete(redcon.AppendError(nil, "ERR "+why))
-	f.log.Warn("a client sent what cannot be taken", "cause", why)
+	// Only the reader touches these.
+	unanswered    []*PendingResponse
+	writerStarted bool
 }
 
 func newClientSession(c *clientConnection) *clientSession {
-	return &clientSession{connection: c, responses: make(chan *PendingResponse, maxPipelinedRequests), disconnected: make(chan struct{}),
-		writerDone: make(chan struct{})}
+	return &clientSession{connection: c, responses: make(chan *PendingResponse, maxPipelinedRequests),
+		disconnected: make(chan struct{}), writerDone: make(chan struct{})}
 }
 
-// read takes the client's commands in, in their order. A client that brings what cannot be taken is answered
-// at once, and read on later; one that loses its framing, or brings too much at once, is read no more: it gets
-// the answers that it is owed, and its end.
+// readRequests passes the client's requests on, in their order. A malformed request is answered at once, and the
+// connection read on later. A connection that loses its framing, or sends too many requests at once, is read no
+// more: it gets the responses that it is owed, and is closed.
 func (s *clientSession) readRequests() {
-	c, f := s.connection, s.connection.server
-	var inHand []*PendingResponse
-	writing := false
+	c := s.connection
 	for !c.framingLost {
-		cmd, fault, err := c.readRequest()
-		if err != nil {
+		command, err := c.readRequest()
+		var malformed malformedRequestError
+		if err != nil && !errors.As(err, &malformed) {
 			break
 		}
-		if !writing {
-			writing = true
-			go s.writeResponses()
-		}
-		if inHand = slices.DeleteFunc(inHand, (*PendingResponse).isDone); len(inHand) >= maxPipelinedRequests {
-			c.framingLost, fault = true, "too many commands at once"
+		s.startWriter()
+		if s.unanswered = slices.DeleteFunc(s.unanswered, (*PendingResponse).isDone); len(s.unanswered) >= maxPipelinedRequests {
+			c.framingLost, err = true, errTooManyRequests
 		}
-		a := &PendingResponse{done: make(chan struct{}), requestBytes: int64(len(cmd.Raw))}
-		f.requestBytes.Acquire(context.Background(), a.requestBytes) // others' answers make room
-		select {
-		case s.responses <- a:
-		case <-s.writerDone:
-			f.requestBytes.Release(a.requestBytes)
+		response := s.enqueueResponse(len(command.Raw))
+		if err == nil {
+			err = c.server.dispatch(command, response, c.ensureDescriptor())
 		}
-		inHand = append(inHand, a)
-		if fault == "" {
-			fault = f.dispatch(cmd, a, c.ensureDescriptor())
-		}
-		if fault != "" {
-			f.rejectMalformed(a, fault)
+		if err != nil {
+			c.server.rejectMalformed(response, err)
 			if !c.framingLost {
 				time.Sleep(malformedRequestDelay)
 			}
 		}
 	}
+	s.finishReading()
+}
+
+// startWriter starts the writer with the first request.
+func (s *clientSession) startWriter() {
+	if !s.writerStarted {
+		s.writerStarted = true
+		go s.writeResponses()
+	}
+}
+
+// enqueueResponse adds the response to a request to those that the writer is to write. It waits while the requests
+// of all connections take too much memory: as responses are written, room becomes free.
+func (s *clientSession) enqueueResponse(requestBytes int) *PendingResponse {
+	response := newPendingResponse(requestBytes)
+	available := s.connection.server.requestBytes
+	available.Acquire(context.Background(), response.requestBytes)
+	select {
+	case s.responses <- response:
+	case <-s.writerDone:
+		available.Release(response.requestBytes)
+	}
+	s.unanswered = append(s.unanswered, response)
+	return response
+}
+
+// finishReading ends the session from the reader's side, once no further request is read. If the client has
+// disconnected it reports each request without a response.
+func (s *clientSession) finishReading() {
+	c := s.connection
 	close(s.responses)
 	if c.framingLost && !c.awaitDisconnect() {
-		return // the client has got the answers that it was owed, or goes on sending without end
+		return // the client has got the responses that it was owed, or goes on sending without end
 	}
-	if close(s.disconnected); !writing {
+	close(s.disconnected)
+	if !s.writerStarted {
 		c.Close()
 	}
-	for _, a := range inHand {
-		if !a.isDone() {
-			f.onDisconnect(a)
+	for _, response := range s.unanswered {
+		if !response.isDone() {
+			c.server.onDisconnect(response)
 		}
 	}
 }
 
-func (a *PendingResponse) isDone() bool {
-	select {
-	case <-a.done:
-		return true
-	default:
-		return false
-	}
-}
-
-// command takes one command in, or tells why it cannot. One for which there is no room has no time left: it
-// gets its final answer.
-func (f *ClientServer) dispatch(cmd redcon.Command, a *PendingResponse, room bool) (fault string) {
-	switch string(cmd.Args[0]) {
+// dispatch passes a request on, or returns what is wrong with it. One for whose connection there is no descriptor
+// has no time left: it gets its final response without an attempt.
+func (s *ClientServer) dispatch(command redcon.Command, response *PendingResponse, hasDescriptor bool) error {
+	switch string(command.Args[0]) {
 	case "API.READ", "API.WRITE":
-		request, err := protocol.ParseRequest(cmd.Args, f.opTypes)
+		request, err := protocol.ParseRequest(command.Args, s.opTypes)
 		if err != nil {
-			return err.Error()
+			return err
 		}
-		if !room {
+		if !hasDescriptor {
 			request.Remaining = 0
 		}
-		request.Remaining = min(request.Remaining, f.maxRemaining)
-		f.onRequest(request, a)
+		request.Remaining = min(request.Remaining, s.maxRemaining)
+		s.onRequest(request, response)
 	case "PING":
-		a.complete(redcon.AppendString(nil, "PONG"))
+		response.complete(redcon.AppendString(nil, "PONG"))
 	default:
-		return "unknown command"
+		return errUnknownCommand
 	}
-	return ""
+	return nil
+}
+
+// rejectMalformed responds to what is not a request with the error's text.
+func (s *ClientServer) rejectMalformed(response *PendingResponse, err error) {
+	response.complete(redcon.AppendError(nil, "ERR "+err.Error()))
+	s.log.Warn("malformed request from client", "error", err)
 }
 
-// write brings the answers out until the client has left or takes none.
+// writeResponses writes the responses until the client has disconnected or does not read them.
 func (s *clientSession) writeResponses() {
+	available := s.connection.server.requestBytes
 	defer func() {
 		close(s.writerDone)
 		s.connection.Close()
-		for a := range s.responses { // until the reader has seen the end
-			s.connection.server.requestBytes.Release(a.requestBytes)
+		for response := range s.responses { // until the reader has met the end
+			available.Release(response.requestBytes)
 		}
 	}()
-	for a := range s.responses {
-		ok := s.writeResponse(a)
-		s.connection.server.requestBytes.Release(a.requestBytes)
-		if !ok {
+	for response := range s.responses {
+		written := s.writeResponse(response)
+		available.Release(response.requestBytes)
+		if !written {
 			return
 		}
 		s.connection.finishRequest()
 	}
 }
 
-// bring waits for an answer and writes it; it tells whether the client took it.
-func (s *clientSession) writeResponse(a *PendingResponse) bool {
+// writeResponse waits for a response and writes it. It returns false if the client disconnected before, or did not
+// read it.
+func (s *clientSession) writeResponse(response *PendingResponse) bool {
 	select {
-	case <-a.done:
+	case <-response.done:
 	case <-s.disconnected:
 		return false
 	}
 	s.connection.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	_, err := a.payload.WriteTo(s.connection.Conn)
+	_, err := response.payload.WriteTo(s.connection.Conn)
 	return err == nil
 }
--- a/internal/transport/endpoint_pool.go
+++ b/internal/transport/endpoint_pool.go
@@ -248,16 +248,6 @@
 	return err == unix.EAGAIN
 }
 
-// peek tells whether a byte waits on a connection, without reading it: 1 if one does, 0 at its end, an error otherwise.
-func peekByte(raw syscall.RawConn) (n int, err error) {
-	if failed := raw.Control(func(fd uintptr) {
-		n, _, err = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	}); failed != nil {
-		return 0, failed
-	}
-	return n, err
-}
-
 // spare keeps a connection whose delivery was given up before it began, for another.
 func (l *endpointConnection) returnUnused() {
 	l.mu.Lock()
--- /dev/null
+++ b/internal/transport/socket.go
@@ -0,0 +1,19 @@
+package transport
+
+import (
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// peekByte looks whether a byte waits on a connection without reading it. It returns 1 if one does, 0 at the end of
+// the stream, and an error otherwise: unix.EAGAIN if nothing waits.
+func peekByte(raw syscall.RawConn) (n int, err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		n, _, err = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	})
+	if controlErr != nil {
+		return 0, controlErr
+	}
+	return n, err
+}
