--- /dev/null
+++ b/internal/transport/endpoint_connection.go
@@ -0,0 +1,215 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"laurelring/decision"
+	"laurelring/internal/protocol"
+)
+
+// maxStartDelay is how much longer than a connection may take to be established an attempt may wait until its first
+// byte goes out. An attempt that is later was decided on a state that is past, as when the process was stalled.
+const maxStartDelay = 250 * time.Millisecond
+
+// endpointConnection is one connection to an endpoint. It ends in close, which alone gives its descriptor back.
+type endpointConnection struct {
+	pool     *EndpointPool
+	address  string
+	openedAt time.Time
+	conn     *net.TCPConn
+	rawConn  syscall.RawConn
+
+	// mu is held while bytes are read, too: what arrived before an attempt began is no part of its response.
+	mu        sync.Mutex
+	attempt   *Attempt // whose response is awaited
+	writing   bool     // the attempt's request is being written
+	closed    bool
+	unusable  bool      // its end, or bytes that belong to no response, were read: no attempt may begin on it
+	idleSince time.Time // guarded by the lock of the pool
+}
+
+// send writes an attempt's request. Until the last byte is written the request can't have run. A reused connection
+// that has ended meanwhile, or on which anything has arrived since its last response, is replaced by a new one, as
+// long as nothing was written.
+func (c *endpointConnection) send(attempt *Attempt, reused bool) {
+	if !c.assign(attempt, reused) {
+		c.close("ended or received bytes while idle")
+		c.resend(attempt, reused)
+		return
+	}
+	remaining := time.Until(attempt.deadline)
+	request := attempt.encode(remaining)
+	c.conn.SetReadDeadline(time.Time{})
+	// Nothing but the write itself follows this look at the time: the process may be stalled at any point.
+	if remaining <= 0 || time.Since(attempt.decidedAt) > c.pool.connectTimeout+maxStartDelay {
+		attempt.finish(decision.OutcomeNotSent)
+	}
+	if !attempt.markStarted(c) {
+		c.returnUnused()
+		return
+	}
+	written, err := c.conn.Write(request)
+	c.mu.Lock()
+	c.writing = false
+	closed, answered := c.closed, c.attempt == nil
+	c.mu.Unlock()
+	switch {
+	case err != nil && written == 0:
+		c.close(err.Error())
+		c.resend(attempt, reused)
+	case err != nil:
+		attempt.finish(decision.OutcomeConnectFailed)
+		c.close(err.Error())
+	case closed:
+		attempt.finish(decision.OutcomeConnectionLost)
+	case answered: // before the write returned
+		c.pool.putIdle(c)
+	}
+}
+
+// assign makes an attempt the one whose response is awaited. It returns false if the connection is of no use: it is
+// closed, or it was reused and its end or any byte is waiting to be read.
+func (c *endpointConnection) assign(attempt *Attempt, reused bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.unusable || reused && !c.isQuiet() {
+		return false
+	}
+	c.attempt, c.writing = attempt, true
+	return true
+}
+
+// isQuiet reports whether the connection is open and nothing waits to be read.
+func (c *endpointConnection) isQuiet() bool {
+	_, err := peekByte(c.rawConn)
+	return errors.Is(err, unix.EAGAIN)
+}
+
+// returnUnused makes the connection of an attempt that was given up before it started available to another.
+func (c *endpointConnection) returnUnused() {
+	c.mu.Lock()
+	c.attempt, c.writing = nil, false
+	c.mu.Unlock()
+	c.pool.putIdle(c)
+}
+
+// resend opens a new connection for an attempt of which nothing was written on a reused one. On a new one the attempt
+// has failed.
+func (c *endpointConnection) resend(attempt *Attempt, reused bool) {
+	if !attempt.markNotStarted() {
+		return
+	}
+	if reused {
+		c.pool.connect(c.address, attempt)
+	} else {
+		attempt.finish(decision.OutcomeConnectFailed)
+	}
+}
+
+// readResponses reads responses until the connection ends or is of no further use. Nothing may arrive but the response
+// to the attempt in flight.
+func (c *endpointConnection) readResponses() {
+	c.close(c.readUntilUnusable())
+}
+
+// readUntilUnusable returns why the connection can't be used any longer.
+func (c *endpointConnection) readUntilUnusable() (reason string) {
+	buffer, reply := protocol.NewBuffer(protocol.ReplyMost), protocol.Reply{}
+	for {
+		n, attempt, err := c.receive(buffer.Room())
+		buffer.Add(n)
+		if n > 0 && !c.handleBytes(attempt, buffer, &reply) {
+			return "unexpected bytes"
+		}
+		if isTimeout(err) {
+			if c.pool.expireIdle(c) {
+				return "idle"
+			}
+		} else if err != nil {
+			return err.Error()
+		}
+	}
+}
+
+// receive waits for bytes and reads them. It returns the attempt that was in flight at that moment: a second response
+// that comes late must not be taken for the response to an attempt that begins as it is read.
+func (c *endpointConnection) receive(room []byte) (n int, attempt *Attempt, err error) {
+	readErr := c.rawConn.Read(func(fd uintptr) bool {
+		c.mu.Lock()
+		n, err = unix.Read(int(fd), room)
+		notReady := err == unix.EAGAIN || err == unix.EINTR
+		attempt = c.attempt
+		c.unusable = c.unusable || attempt == nil && !notReady
+		c.mu.Unlock()
+		return !notReady
+	})
+	switch {
+	case readErr != nil:
+		return 0, nil, readErr
+	case err != nil:
+		return 0, nil, err
+	case n == 0:
+		return 0, nil, io.EOF
+	}
+	return n, attempt, nil
+}
+
+// handleBytes parses what has arrived for an attempt, and reports whether the connection is still of use.
+func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reply *protocol.Reply) bool {
+	if attempt == nil {
+		c.pool.log.Warn("unexpected bytes from endpoint", "address", c.address)
+		return false
+	}
+	response, complete, err := reply.Next(buffer)
+	if err != nil {
+		c.pool.log.Warn("malformed response from endpoint", "address", c.address)
+		// The request may have run, and the endpoint is there.
+		response, complete = protocol.Response{Outcome: decision.OutcomeError}, true
+	}
+	if !complete {
+		return true
+	}
+	wellFormed := err == nil && len(buffer.Bytes()) == 0
+	c.mu.Lock()
+	writing := c.writing
+	c.attempt = nil
+	c.mu.Unlock()
+	first := attempt.markFinished() // before the connection serves another attempt
+	switch {
+	case !wellFormed:
+		c.close("malformed response")
+	case !writing:
+		c.pool.putIdle(c)
+	}
+	if first {
+		attempt.onResponse(response)
+	}
+	return wellFormed
+}
+
+// close ends the connection and the attempt in flight on it, and gives its descriptor back. The reason is logged.
+func (c *endpointConnection) close(reason string) {
+	c.mu.Lock()
+	wasClosed, attempt, writing := c.closed, c.attempt, c.writing
+	c.closed = true
+	c.mu.Unlock()
+	if wasClosed {
+		return
+	}
+	slog.Debug("endpoint connection closed", "address", c.address, "reason", reason)
+	c.pool.forgetIdle(c)
+	c.conn.Close()
+	c.pool.quota.release()
+	// While the request is being written, send reports the outcome: it knows whether the last byte went out.
+	if attempt != nil && !writing {
+		attempt.finish(decision.OutcomeConnectionLost)
+	}
+}
