--- /dev/null
+++ b/cmd/gateway/gateway_test.go
@@ -0,0 +1,144 @@
+package main
+
+import (
+	"log/slog"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"laurelring/internal/gatewaytest"
+)
+
+// TestMain is a gateway in place of the tests where a test has started this program as one of a fleet.
+func TestMain(m *testing.M) {
+	if gatewaytest.IsGatewayProcess() {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// testGateway is a gateway in this process among what it reaches, all on loopback: one endpoint, discovery, the rollout
+// controller and one other gateway.
+type testGateway struct {
+	t         *testing.T
+	address   string
+	endpoint  *gatewaytest.KeyedEndpoint
+	discovery *gatewaytest.ScriptedDiscovery
+	datagrams chan int // sizes of those sent to the other gateway
+
+	configuration    atomic.Value // the text of the file
+	shutdown, reload chan os.Signal
+	finished         chan error
+	stopped          bool // nothing is left to clean up
+}
+
+// startGateway brings a gateway up that may hold so many descriptors.
+func startGateway(t *testing.T, descriptors int) *testGateway {
+	t.Helper()
+	return startGatewayWith(t, descriptors, gatewaytest.Settings)
+}
+
+func startGatewayWith(t *testing.T, descriptors int, settings string) *testGateway {
+	t.Helper()
+	g := &testGateway{t: t, endpoint: gatewaytest.NewKeyedEndpoint(t),
+		discovery: &gatewaytest.ScriptedDiscovery{Lists: make(chan string, 9)}, datagrams: make(chan int, 99),
+		shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), finished: make(chan error, 1)}
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	_, rollout := gatewaytest.NewRolloutController(t)
+	other := gatewaytest.ReceiveDatagrams(t, g.datagrams)
+	clients, peers := gatewaytest.Listen(t), gatewaytest.ListenPacket(t)
+	g.address = clients.Addr().String()
+	text := gatewaytest.Configuration{
+		Name:              "n0",
+		Listen:            g.address,
+		Discovery:         g.discovery.Listen(t),
+		RolloutController: rollout,
+		Seed:              0x8c1f30d27a5be964,
+		Descriptors:       descriptors,
+		PeerListen:        peers.LocalAddr().String(),
+		Peers:             []string{peers.LocalAddr().String(), other},
+		Endpoints:         []gatewaytest.EndpointRecord{gatewaytest.ReadyEndpoint("s-1", g.endpoint.Listen())},
+		Settings:          settings,
+	}.Text()
+	g.configuration.Store(text)
+	clients.Close() // the gateway's own from here on
+	peers.Close()
+	reread := func() ([]byte, error) { return []byte(g.configuration.Load().(string)), nil }
+	go func() { g.finished <- run([]byte(text), reread, g.shutdown, g.reload) }()
+	g.awaitListening()
+	t.Cleanup(func() {
+		if !g.stopped {
+			g.shutdown <- syscall.SIGTERM
+			<-g.finished
+		}
+	})
+	return g
+}
+
+// awaitListening waits until the gateway accepts connections.
+func (g *testGateway) awaitListening() {
+	g.t.Helper()
+	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		if conn, err := net.Dial("tcp", g.address); err == nil {
+			conn.Close()
+			return
+		}
+		if time.Now().After(end) {
+			g.t.Fatal("the gateway does not listen")
+		}
+	}
+}
+
+// shutdownLimit is how long a gateway may still take to shut down where a test says no other.
+const shutdownLimit = 2 * time.Second
+
+// awaitShutdown waits for some time at most until the gateway has shut down as it was asked to.
+func (g *testGateway) awaitShutdown(limit time.Duration) {
+	g.t.Helper()
+	g.stopped = true
+	select {
+	case err := <-g.finished:
+		if err != nil {
+			g.t.Error(err)
+		}
+	case <-time.After(limit):
+		g.t.Error("the gateway does not shut down")
+	}
+}
+
+// ask sends requests on one connection and gives what comes back until it ends or has been waited for.
+func (g *testGateway) ask(wait time.Duration, requests ...string) string {
+	return gatewaytest.Ask(g.address, wait, requests...)
+}
+
+// dial opens a connection that is closed when the test ends.
+func (g *testGateway) dial() net.Conn {
+	g.t.Helper()
+	conn, err := net.Dial("tcp", g.address)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// configurationText is the text of the configuration file as it is now.
+func (g *testGateway) configurationText() string { return g.configuration.Load().(string) }
+
+// moveDiscovery has the file name another address of discovery, and gives what is asked for there.
+func (g *testGateway) moveDiscovery() (requests chan string) {
+	address, requests := g.secondDiscovery()
+	g.configuration.Store(gatewaytest.WithAddress(g.configurationText(), "discovery", address))
+	return requests
+}
+
+// secondDiscovery starts another discovery service with the same answers, and gives what is asked for there.
+func (g *testGateway) secondDiscovery() (address string, requests chan string) {
+	g.t.Helper()
+	second := &gatewaytest.ScriptedDiscovery{Lists: g.discovery.Lists, Requests: make(chan string, 99)}
+	return second.Listen(g.t), second.Requests
+}
--- /dev/null
+++ b/cmd/gateway/reload_test.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"bufio"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"laurelring/internal/gatewaytest"
+)
+
+// SIGHUP: discovery and the rollout controller are where the file says by then, requests in flight go on, and a file that
+// cannot be read changes nothing.
+func TestReloadMovesDiscoveryAndRolloutController(t *testing.T) {
+	gateway := startGateway(t, 1024)
+	rollout, rolloutLines := gatewaytest.Listen(t), make(chan string, 99)
+	go gatewaytest.Serve(rollout, func(conn net.Conn) {
+		for in := bufio.NewScanner(conn); in.Scan(); {
+			rolloutLines <- in.Text()
+		}
+	})
+	discovery, listRequests := gateway.secondDiscovery()
+	original := gateway.configurationText()
+	inFlight := make(chan string, 1)
+	go func() { inFlight <- gateway.ask(900*time.Millisecond, gatewaytest.WriteRequest("slow", "kept")) }()
+	time.Sleep(50 * time.Millisecond)
+	for _, text := range []string{
+		`{"name":"n0"`,
+		gatewaytest.WithAddress(original, "discovery", "nowhere"),
+		gatewaytest.WithAddress(gatewaytest.WithAddress(original, "address", rollout.Addr().String()), "discovery", discovery),
+	} {
+		gateway.configuration.Store(text)
+		for range 2 { // the second may come before the first has settled
+			gateway.reload <- syscall.SIGHUP
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	for want, lines := range map[string]chan string{"/discovery/hosts?after=1": listRequests, `"listen"`: rolloutLines} {
+		select {
+		case line := <-lines:
+			if !strings.Contains(line, want) {
+				t.Errorf("%q was asked, want %q", line, want)
+			}
+		case <-time.After(2 * time.Second):
+			t.Errorf("%s is not asked for where the file says", want)
+		}
+	}
+	gateway.discovery.Lists <- gatewaytest.EndpointList{Revision: 2,
+		Endpoints: []gatewaytest.EndpointRecord{gatewaytest.ReadyEndpoint("s-1", gateway.endpoint.Listen())}}.Text()
+	if answer := <-inFlight; answer != "$4\r\nkept\r\n" {
+		t.Errorf("in flight meanwhile: %q", answer)
+	}
+	if after := gateway.ask(300*time.Millisecond, gatewaytest.WriteRequest("a", "after")); after != "$5\r\nafter\r\n" {
+		t.Errorf("afterwards: %q", after)
+	}
+}
+
+// SIGHUP after SIGTERM: what still serves asks for the endpoint list where discovery is by now.
+func TestReloadDuringShutdown(t *testing.T) {
+	gateway := startGateway(t, 1024)
+	gateway.shutdown <- syscall.SIGTERM
+	listRequests := gateway.moveDiscovery()
+	time.Sleep(50 * time.Millisecond)
+	gateway.reload <- syscall.SIGHUP
+	select {
+	case <-listRequests:
+	case <-time.After(500 * time.Millisecond):
+		t.Error("the list is not asked for where the file says")
+	}
+	if got := gateway.ask(300*time.Millisecond, "PING"); got != "+PONG\r\n" {
+		t.Errorf("meanwhile: %q", got)
+	}
+	gateway.awaitShutdown(10 * time.Second)
+}
+
+// SIGHUP and SIGTERM in the same moment, in either order: the file is read, and the program ends in its time.
+func TestReloadAndShutdownAtOnce(t *testing.T) {
+	gateway := startGateway(t, 1024)
+	listRequests := gateway.moveDiscovery()
+	gateway.reload <- syscall.SIGHUP
+	gateway.shutdown <- syscall.SIGTERM
+	gateway.reload <- syscall.SIGHUP
+	signaled := time.Now()
+	if got := gateway.ask(300*time.Millisecond, gatewaytest.WriteRequest("a", "x")); got != "$1\r\nx\r\n" {
+		t.Errorf("meanwhile: %q", got)
+	}
+	gateway.awaitShutdown(10 * time.Second)
+	if time.Since(signaled) > 2*time.Second || len(listRequests) == 0 {
+		t.Errorf("the end after %v, %d calls for the list where the file says", time.Since(signaled), len(listRequests))
+	}
+}
--- /dev/null
+++ b/cmd/gateway/shutdown_test.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"laurelring/internal/gatewaytest"
+)
+
+// SIGTERM: what was accepted is answered, clients are served on for the grace, and the program ends by itself.
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
+	gateway := startGateway(t, 1024)
+	early := make(chan string, 1)
+	go func() { early <- gateway.ask(5*time.Second, gatewaytest.WriteRequest("slow", "before")) }()
+	time.Sleep(50 * time.Millisecond)
+	gateway.shutdown <- syscall.SIGTERM
+	time.Sleep(300 * time.Millisecond)
+	if after := gateway.ask(5*time.Second, gatewaytest.WriteRequest("slow", "after")); after != "$5\r\nafter\r\n" {
+		t.Errorf("in the grace: %q", after)
+	}
+	quiet := gateway.dial() // it is ended: a reset says that nothing was read
+	quiet.SetReadDeadline(time.Now().Add(2 * time.Second))
+	if _, err := quiet.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("a quiet connection at the end: %v", err)
+	}
+	if again := gateway.ask(5*time.Second, gatewaytest.WriteRequest("a", "crossed")); again != "$7\r\ncrossed\r\n" {
+		t.Errorf("sent again on a new connection: %q", again)
+	}
+	if before := <-early; before != "$6\r\nbefore\r\n" {
+		t.Errorf("accepted before the signal: %q", before)
+	}
+	gateway.awaitShutdown(shutdownLimit)
+}
+
+// SIGTERM, twice, upon a connection that has brought half a request and one whose request lies unread: both are answered,
+// and so is one that comes on a connection that stays open.
+func TestShutdownAnswersPartialRequests(t *testing.T) {
+	gateway := startGateway(t, 1024)
+	half := gateway.dial()
+	io.WriteString(half, "PING\r\n")
+	if line, err := bufio.NewReader(half).ReadString('\n'); line != "+PONG\r\n" {
+		t.Fatal(line, err)
+	}
+	request := gatewaytest.EncodeRequest(gatewaytest.WriteRequest("a", "whole"))
+	split := len(request) - 9
+	half.Write(request[:split])
+	first := gateway.dial() // its first request, in pieces
+	time.Sleep(50 * time.Millisecond)
+	gateway.shutdown <- syscall.SIGTERM
+	first.Write(redcon.AppendArray(nil, 1))
+	time.Sleep(time.Second)
+	gateway.shutdown <- syscall.SIGTERM
+	io.WriteString(first, "$4\r\nPING\r\n")
+	half.Write(request[split:])
+	for _, test := range []struct {
+		name string
+		conn net.Conn
+		want string
+	}{{"half a request", half, "$5\r\nwhole\r\n"}, {"first request in pieces", first, "+PONG\r\n"}} {
+		test.conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		if got, err := io.ReadAll(test.conn); string(got) != test.want || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%s: %q, %v; want %q and the end", test.name, got, err, test.want)
+		}
+	}
+	gateway.awaitShutdown(shutdownLimit)
+}
+
+// Seen with restarts amid long deadlines: what clients would still wait for was unanswered when the process was killed,
+// 3.7 s after SIGTERM. All has its final answer by then, and the program ends by itself.
+func TestShutdownAnswersLongDeadlinesBeforeKill(t *testing.T) {
+	settings := strings.Replace(gatewaytest.Settings, `"give_up_ms":2000`, `"give_up_ms":20000`, 1)
+	gateway := startGatewayWith(t, 1024, settings)
+	ask := func() string {
+		return gateway.ask(5*time.Second, fmt.Sprintf("API.READ silent %d c=look,d=20000", gatewaytest.NextRequestID()))
+	}
+	answers := make(chan string, 2)
+	go func() { answers <- ask() }()
+	time.Sleep(50 * time.Millisecond)
+	gateway.shutdown <- syscall.SIGTERM
+	signaled := time.Now()
+	time.AfterFunc(time.Second, func() { answers <- ask() })
+	for range 2 {
+		if answer := <-answers; !strings.HasPrefix(answer, "-BUSY") || time.Since(signaled) > 3600*time.Millisecond {
+			t.Errorf("%q, %v after SIGTERM", answer, time.Since(signaled))
+		}
+	}
+	gateway.awaitShutdown(shutdownLimit)
+	if time.Since(signaled) > 4200*time.Millisecond {
+		t.Errorf("the end %v after SIGTERM", time.Since(signaled))
+	}
+}
--- /dev/null
+++ b/internal/gatewaytest/endpoint.go
@@ -0,0 +1,139 @@
+package gatewaytest
+
+import (
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// slowAnswer is how long a KeyedEndpoint takes for keys that begin with "slow".
+const slowAnswer = 300 * time.Millisecond
+
+// KeyedEndpoint is a fake endpoint whose answer a request's key chooses: "breaks" closes the connection, "fails" is an
+// error, "full" turns the request away, "silent" gives no answer, "damaged" a malformed one; keys that begin with "slow"
+// are answered late, all others at once.
+type KeyedEndpoint struct {
+	t        *testing.T
+	requests atomic.Int64
+}
+
+// NewKeyedEndpoint makes an endpoint that listens nowhere yet.
+func NewKeyedEndpoint(t *testing.T) *KeyedEndpoint { return &KeyedEndpoint{t: t} }
+
+// Listen has the endpoint serve at one more address, which it gives.
+func (e *KeyedEndpoint) Listen() string {
+	e.t.Helper()
+	listener := Listen(e.t)
+	go redcon.Serve(listener, e.serve, nil, nil)
+	return listener.Addr().String()
+}
+
+// Requests counts the requests that it got.
+func (e *KeyedEndpoint) Requests() int64 { return e.requests.Load() }
+
+func (e *KeyedEndpoint) serve(conn redcon.Conn, request redcon.Command) {
+	if len(request.Args) < 4 || !strings.Contains(string(request.Args[3]), "d=") {
+		e.t.Errorf("the endpoint got %q", request.Args)
+		return
+	}
+	e.requests.Add(1)
+	switch key := string(request.Args[1]); {
+	case key == "breaks":
+		conn.Close()
+	case key == "fails":
+		conn.WriteError("ERR failed utilization=0.5")
+	case key == "full":
+		conn.WriteError("BUSY")
+	case key == "silent":
+	case key == "damaged":
+		conn.WriteRaw([]byte("*3\r\n:x\r\n"))
+	case strings.HasPrefix(key, "slow"):
+		time.Sleep(slowAnswer)
+		fallthrough
+	default:
+		writeAnswer(conn, request.Args[len(request.Args)-1], "utilization=0.4")
+	}
+}
+
+// writeAnswer writes a successful response with a load report.
+func writeAnswer(conn redcon.Conn, value []byte, load string) {
+	conn.WriteArray(3)
+	conn.WriteBulk(value)
+	conn.WriteNull()
+	conn.WriteBulkString(load)
+}
+
+// Endpoint is a fake endpoint that answers with the request's key, or turns requests away once it drains. It records
+// when each request arrived.
+type Endpoint struct {
+	Record   EndpointRecord // as discovery lists it; for one goroutine
+	draining atomic.Bool
+
+	mu          sync.Mutex
+	arrivals    []time.Time
+	connections []redcon.Conn
+}
+
+// NewEndpoint starts an endpoint.
+func NewEndpoint(t *testing.T, id string) *Endpoint {
+	t.Helper()
+	listener := Listen(t)
+	e := &Endpoint{Record: ReadyEndpoint(id, listener.Addr().String())}
+	go redcon.Serve(listener, e.serve, func(conn redcon.Conn) bool {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.connections = append(e.connections, conn)
+		return true
+	}, nil)
+	return e
+}
+
+// SetDraining has the endpoint turn requests away, or serve them again.
+func (e *Endpoint) SetDraining(draining bool) { e.draining.Store(draining) }
+
+// Restart closes all connections, as the end of a process does; new ones are served as before.
+func (e *Endpoint) Restart() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, conn := range e.connections {
+		conn.NetConn().Close()
+	}
+	e.connections = nil
+}
+
+// arrivedAfter counts the requests that arrived after a moment.
+func (e *Endpoint) arrivedAfter(moment time.Time) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	count := 0
+	for _, arrival := range e.arrivals {
+		if arrival.After(moment) {
+			count++
+		}
+	}
+	return count
+}
+
+func (e *Endpoint) serve(conn redcon.Conn, request redcon.Command) {
+	e.mu.Lock()
+	e.arrivals = append(e.arrivals, time.Now())
+	e.mu.Unlock()
+	if e.draining.Load() {
+		conn.WriteError("BUSY")
+		return
+	}
+	writeAnswer(conn, request.Args[1], "utilization=0.2")
+}
+
+// ArrivedAfter counts the requests that arrived at any of the endpoints after a moment.
+func ArrivedAfter(endpoints []*Endpoint, moment time.Time) int {
+	count := 0
+	for _, endpoint := range endpoints {
+		count += endpoint.arrivedAfter(moment)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/gatewaytest/fleet.go
@@ -0,0 +1,177 @@
+package gatewaytest
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// processVariable in the environment has a test program be a gateway: a fleet is made of real processes.
+const processVariable = "LAURELRING_TEST_GATEWAY"
+
+// IsGatewayProcess reports whether this test program was started as a gateway of a Fleet. TestMain then has to run the
+// gateway's main function in place of the tests.
+func IsGatewayProcess() bool { return os.Getenv(processVariable) != "" }
+
+const (
+	requestPeriod = 40 * time.Millisecond   // between two requests of a client
+	answerWait    = 1600 * time.Millisecond // a client's, longer than the deadline of its requests
+	fleetStart    = 10 * time.Second        // until all gateways serve
+)
+
+// Fleet is some gateways, each a process of its own, with a client at each.
+type Fleet struct {
+	Rollout *RolloutController
+
+	t              *testing.T
+	addresses      []string // where the gateways listen to clients
+	configurations []string // files
+	processes      []*exec.Cmd
+
+	mu     sync.Mutex
+	served map[int]bool // gateways that have served a request
+}
+
+// NewFleet makes gateways that start from the given endpoint list, with messages between them or without. Start starts
+// them.
+func NewFleet(t *testing.T, gateways int, discovery string, records []EndpointRecord, messages bool) *Fleet {
+	t.Helper()
+	f := &Fleet{t: t, served: map[int]bool{}}
+	var rollout string
+	f.Rollout, rollout = NewRolloutController(t)
+	var peers []string
+	for range gateways {
+		address, peer, release := reserveAddresses(t)
+		defer release() // all are reserved until each has its own
+		f.addresses, peers = append(f.addresses, address), append(peers, peer)
+	}
+	folder := t.TempDir()
+	for rank := range gateways {
+		configuration := Configuration{Name: fmt.Sprintf("n%d", rank), Listen: f.addresses[rank], Discovery: discovery,
+			RolloutController: rollout, Seed: uint64(rank + 1), Descriptors: 256, Endpoints: records,
+			Settings: FleetSettings(rank, gateways, messages)}
+		if messages {
+			configuration.PeerListen, configuration.Peers = peers[rank], peers
+		}
+		path := filepath.Join(folder, fmt.Sprintf("n%d.json", rank))
+		if err := os.WriteFile(path, []byte(configuration.Text()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		f.configurations = append(f.configurations, path)
+	}
+	return f
+}
+
+// reserveAddresses finds free ports for a gateway's clients and for its peers' datagrams, and holds them until it is
+// told to release them.
+func reserveAddresses(t *testing.T) (clients, peers string, release func()) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String(), socket.LocalAddr().String(), func() {
+		listener.Close()
+		socket.Close()
+	}
+}
+
+// Start starts the processes and a client at each. They are killed when the test ends.
+func (f *Fleet) Start(ctx context.Context) {
+	f.t.Helper()
+	for gateway, path := range f.configurations {
+		log, err := os.Create(logPath(path))
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		process := exec.Command(os.Args[0])
+		process.Env = append(os.Environ(), processVariable+"=1", "RELAY_CONFIG="+path)
+		process.Stderr = log
+		if err := process.Start(); err != nil {
+			f.t.Fatal(err)
+		}
+		f.processes = append(f.processes, process)
+		f.t.Cleanup(func() {
+			process.Process.Signal(syscall.SIGKILL)
+			process.Wait()
+			log.Close()
+		})
+		go f.RunClient(ctx, gateway)
+	}
+}
+
+// Signal sends a signal to the process of one gateway.
+func (f *Fleet) Signal(gateway int, signal syscall.Signal) {
+	f.processes[gateway].Process.Signal(signal)
+}
+
+// RunClient sends reads to a gateway, one after the other, until the context ends.
+func (f *Fleet) RunClient(ctx context.Context, gateway int) {
+	for ctx.Err() == nil {
+		conn, err := net.Dial("tcp", f.addresses[gateway])
+		if err != nil {
+			time.Sleep(requestPeriod)
+			continue
+		}
+		for in := bufio.NewReader(conn); ctx.Err() == nil; time.Sleep(requestPeriod) {
+			conn.SetReadDeadline(time.Now().Add(answerWait))
+			conn.Write(EncodeRequest(ReadRequest("key")))
+			line, err := in.ReadString('\n')
+			served := err == nil && strings.HasPrefix(line, "$")
+			if served {
+				_, err = io.CopyN(io.Discard, in, int64(len("key\r\n")))
+			}
+			if err != nil {
+				break
+			}
+			if served {
+				f.mu.Lock()
+				f.served[gateway] = true
+				f.mu.Unlock()
+			}
+		}
+		conn.Close()
+	}
+}
+
+// AwaitServing waits until clients are answered at all gateways.
+func (f *Fleet) AwaitServing() {
+	f.t.Helper()
+	for end := time.Now().Add(fleetStart); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		f.mu.Lock()
+		serving := len(f.served)
+		f.mu.Unlock()
+		if serving == len(f.addresses) {
+			return
+		}
+	}
+	f.t.Fatal("not all gateways serve")
+}
+
+// LogIfFailed adds the logs of the first gateways to the test's if it has failed.
+func (f *Fleet) LogIfFailed(gateways int) {
+	if !f.t.Failed() {
+		return
+	}
+	for _, path := range f.configurations[:gateways] {
+		text, _ := os.ReadFile(logPath(path))
+		f.t.Logf("%s", strings.TrimSpace(string(text)))
+	}
+}
+
+// logPath is where a gateway's log is, by the path of its configuration.
+func logPath(configuration string) string { return configuration + ".log" }
