--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -126,7 +125,7 @@
 	until := now + 10*time.Second
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
-		lb.rollout.nextEvidenceAt = now + time.Duration(lb.draw(int(evidenceInterval/time.Millisecond)))*time.Millisecond // gateways take turns at the voters
+		lb.scheduleFirstReport(now)
 		lb.scheduleFirstPoll(now)
 	}
 	for i, request := range lb.queue {
@@ -142,15 +141,7 @@
 	for _, endpoint := range lb.endpoints {
 		until = min(until, lb.cancelSilentAttempts(endpoint, now, &due))
 	}
-	if rollout := &lb.rollout; now >= rollout.nextEvidenceAt {
-		rollout.nextEvidenceAt = now + evidenceInterval
-		lb.learnFleetBaseline(now)
-		lb.shareEvidence(now, &due)
-	} else if now >= rollout.promoteCheckAt { // the wait before 'on' is over
-		rollout.promoteCheckAt = math.MaxInt64
-		lb.castVote(lb.currentVerdict(now), now, &due)
-	}
-	until = min(until, lb.rollout.nextEvidenceAt, lb.rollout.promoteCheckAt)
+	until = min(until, lb.advanceRollout(now, &due))
 	return max(until-now, lb.tick), due
 }
 
@@ -196,4 +187,5 @@
 	endpointList     endpointListState
 	discoveryPolling pollPacing
 	rollout          rolloutState
+	rankings         []buildRanking // of the ready endpoints' error and loss rates, by build
 }
--- a/decision/canary.go
+++ b/decision/canary.go
@@ -98,12 +98,7 @@
 		return
 	}
 	if status.Build != canary.build || status.Stage != canary.stage || status.Phase != canary.phase {
-		rollout.stageStartedAt = now - status.Age
-		rollout.nextVoteAt, rollout.stageListed, rollout.stageBaseline = 0, false, nil
-		if rollout.ownCounters != nil && status.Phase == PhaseCanary {
-			// The fleet against before: what was clean at a smaller stage says little.
-			rollout.fleetCost, rollout.pendingFleetCost = [2]float64{}, nil
-		}
+		rollout.startStage(now-status.Age, status.Phase)
 	}
 	canary.build, canary.stage, canary.phase, canary.cap = status.Build, status.Stage, status.Phase, status.ExposureCap
 	if status.Phase == PhaseRollingBack || status.Phase == PhaseRolledBack {
--- a/decision/config.go
+++ b/decision/config.go
@@ -193,19 +193,3 @@
 		shortage:         1,
 	}
 }
-
-func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
-	return rolloutState{
-		mode:           config.Mode,
-		promoteVotes:   config.PromoteVotes,
-		rollbackVotes:  config.RollbackVotes,
-		stageShares:    config.StageShares,
-		voteTTL:        config.VoteTTL,
-		answerTimeout:  config.AnswerTimeout,
-		peerMessages:   config.PeerMessages && gateways > 1,
-		lagCost:        costs.Lag,
-		harmCost:       costs.Harm,
-		promoteCheckAt: math.MaxInt64,
-		reports:        make([]*EvidenceReport, gateways),
-	}
-}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -11,7 +11,7 @@
 
 // ToldLoad tells how busy an instance says it is.
 func (lb *Balancer) LoadReported(endpoint *Endpoint, busy float64, now monotonic.Time) {
-	endpoint.utilization, endpoint.utilizationAt, endpoint.utilizationUnreported = busy, now, true
+	endpoint.utilization, endpoint.utilizationAt, endpoint.unreported.utilization = busy, now, true
 }
 
 // EndpointStatus is what the endpoint list says of one endpoint.
@@ -32,7 +32,7 @@
 		endpoint.listed, endpoint.drawKey = true, uint64(lb.draw(1<<30))
 		lb.endpoints = append(lb.endpoints, endpoint)
 	}
-	if endpoint.evidence == nil || status.Build != endpoint.build {
+	if endpoint.evidence.byOpType == nil || status.Build != endpoint.build {
 		lb.retireEvidence(endpoint)
 	}
 	if endpoint.firstStartedAt == 0 || status.Build != endpoint.build {
@@ -81,7 +81,7 @@
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready {
 			newest = max(newest, endpoint.build)
-			if lb.rollout.ownCounters == nil || endpoint.build < lb.rollout.build { // a replaced machine and its successor are one place
+			if !lb.rollout.judging() || endpoint.build < lb.rollout.build { // a replaced machine and its successor are one place
 				power += lb.power(endpoint)
 				places++
 			}
@@ -150,14 +150,11 @@
 	consecutiveFailures             int            // silent failures in a row
 	ejectedUntil                    monotonic.Time
 	outlierUntil                    monotonic.Time // the voters say to leave it alone until then
-	unreported                      Observation    // ours since last told
-	utilizationUnreported           bool           // its figure was told since
-	decayedSuccesses, decayedLosses float64        // answers and losses lately, of all gateways heard
+	unreported                      unreportedResults
+	decayedSuccesses, decayedLosses float64 // answers and losses lately, of all gateways heard
 	decayedAt                       monotonic.Time
-	errorRate                       float64                     // smoothed share of errors
-	evidence                        [][countersPerOpType]uint32 // its evidence, by op type
-	busyTime                        float64                     // busy time by its own figure
-	connectionsLostAt               monotonic.Time              // when it last broke off deliveries
+	errorRate                       float64 // smoothed share of errors
+	evidence                        endpointEvidence
 }
 
 // list follows the list of instances.
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -24,7 +24,7 @@
 		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
 		return
 	}
-	c := &attempt.Endpoint.evidence[attempt.Request.opType.index]
+	c := &attempt.Endpoint.evidence.byOpType[attempt.Request.opType.index]
 	// At its end, by its machine's age then, as the work counts: what still queues has cost none yet.
 	if lb.isWarm(attempt.Endpoint, now) && (outcome == OutcomeSuccess || outcome == OutcomeError) {
 		c[2] += 2
@@ -41,8 +41,8 @@
 		c[1]++
 	}
 	// The deliveries that one crash breaks are one failure, not many, and one among all gateways: by lot.
-	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.connectionsLostAt {
-		attempt.Endpoint.connectionsLostAt = attempt.sentAt + took
+	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.evidence.connectionsLostAt {
+		attempt.Endpoint.evidence.connectionsLostAt = attempt.sentAt + took
 		if lb.draw(lb.gateways) == 0 {
 			c[1]++
 		}
@@ -153,7 +153,7 @@
 // ToldWrong tells that a client judged an answer of an instance wrong.
 func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt, now monotonic.Time) {
 	if sentAt >= lb.rollout.buildSeenAt {
-		endpoint.evidence[op.index][1]++
+		endpoint.evidence.byOpType[op.index][1]++
 	}
 }
 
@@ -200,7 +200,7 @@
 	rollout.costBaseline, rollout.joinedMidCanary, rollout.costBaselineAt = lb.pooledCounters(), true, now
 	rollout.previousBusyTime, rollout.busyTime, rollout.departedBusyTime = [2]float64{}, [2]float64{}, [2]float64{}
 	for _, endpoint := range lb.endpoints {
-		endpoint.busyTime = 0
+		endpoint.evidence.busyTime = 0
 	}
 }
 
@@ -208,9 +208,9 @@
 // alone.
 func (lb *Balancer) addEndpointEvidence(endpoint *Endpoint, cells []uint32, work *[2]float64, workOnly bool) {
 	trial := endpoint.build >= lb.rollout.build
-	work[lb.side(trial)] += endpoint.busyTime
+	work[lb.side(trial)] += endpoint.evidence.busyTime
 	for i, op := range lb.opTypes {
-		for k, n := range endpoint.evidence[i] {
+		for k, n := range endpoint.evidence.byOpType[i] {
 			if k >= 2 || !workOnly {
 				cells[lb.counterIndex(trial, op)+k] += n
 			}
@@ -220,10 +220,10 @@
 
 // retire keeps what a machine that leaves has shown, and starts it anew.
 func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
-	if endpoint.evidence != nil && lb.rollout.ownCounters != nil {
+	if endpoint.evidence.byOpType != nil && lb.rollout.ownCounters != nil {
 		lb.addEndpointEvidence(endpoint, lb.rollout.departedCounters, &lb.rollout.departedBusyTime, false)
 	}
-	endpoint.evidence, endpoint.busyTime = make([][countersPerOpType]uint32, len(lb.opTypes)), 0
+	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([][countersPerOpType]uint32, len(lb.opTypes)), 0
 }
 
 // baseLeft tells whether enough of the ready machines run an earlier build.
@@ -237,3 +237,16 @@
 	}
 	return left*minBaselineOneIn >= all
 }
+
+// endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
+type endpointEvidence struct {
+	byOpType          [][countersPerOpType]uint32
+	busyTime          float64        // by the endpoint's own utilization, weighed by its power
+	connectionsLostAt monotonic.Time // when it last broke connections
+}
+
+// unreportedResults is what this gateway has seen of an endpoint since its last evidence report.
+type unreportedResults struct {
+	successes, losses int
+	utilization       bool // the endpoint has reported its utilization
+}
--- a/decision/health.go
+++ b/decision/health.go
@@ -94,7 +94,7 @@
 		op.meanLatency += 0.05 * (time - op.meanLatency)
 		pace := min(time/max(op.meanLatency, 1), 8)
 		endpoint.relativeLatency = max(0.3, min(6, endpoint.relativeLatency+0.08*(pace-endpoint.relativeLatency)))
-		if m := lb.machineType(endpoint.machineType); endpoint.build < lb.rollout.build || lb.rollout.ownCounters == nil {
+		if m := lb.machineType(endpoint.machineType); endpoint.build < lb.rollout.build || !lb.rollout.judging() {
 			m.relativeLatency = max(0.3, min(6, m.relativeLatency+0.01*(pace-m.relativeLatency)))
 			lb.meanRelativeLatency = max(0.3, min(6, lb.meanRelativeLatency+0.01*(pace-lb.meanRelativeLatency)))
 		}
@@ -180,7 +180,7 @@
 
 // rankPeers sorts what the ready machines of each build show, as far as anything is known of them.
 func (lb *Balancer) rankEndpoints() {
-	all := lb.rollout.rankings[:0]
+	all := lb.rankings[:0]
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready || endpoint.decayedSuccesses+endpoint.decayedLosses < 0.5 { // of one that nobody heard of lately nothing is known
 			continue
@@ -196,13 +196,13 @@
 		slices.Sort(ranking.errorRates)
 		slices.Sort(ranking.lossRates)
 	}
-	lb.rollout.rankings = all
+	lb.rankings = all
 }
 
 // peersOf gives the medians over the other ready machines of an instance's build, when they were last
 // ranked: what most of them suffer is the build's, and no ground to set one aside.
 func (lb *Balancer) medianOfOthers(endpoint *Endpoint) (failing, lossy float64, n int) {
-	for _, ranking := range lb.rollout.rankings {
+	for _, ranking := range lb.rankings {
 		if n = len(ranking.errorRates) - 1; ranking.build == endpoint.build && n > 0 {
 			return medianWithout(ranking.errorRates, endpoint.errorRate), medianWithout(ranking.lossRates, endpoint.lossRate()), n
 		}
@@ -228,7 +228,7 @@
 // saw books our own, to be told to the voters as well.
 func (endpoint *Endpoint) recordOwnResults(acked, lost int, now monotonic.Time) {
 	endpoint.recordResults(acked, lost, now)
-	endpoint.unreported.Successes, endpoint.unreported.Losses = endpoint.unreported.Successes+acked, endpoint.unreported.Losses+lost
+	endpoint.unreported.successes, endpoint.unreported.losses = endpoint.unreported.successes+acked, endpoint.unreported.losses+lost
 }
 
 // lossy is the share of deliveries lost lately.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -9,7 +9,6 @@
 const (
 	utilizationTTL       = 2 * time.Second // a machine's figure is stale after this
 	usualThroughputGain  = 0.15            // of each new figure of what a warm machine answers us
-	lostAttemptCost      = 0.5             // of a command's work that one which came late or never may have cost
 	slowStartShare       = 0.65            // of the multiple that pushes a cold instance over; the rest is left for chance
 	maxSlowStartCapacity = 1.1             // of what a cold instance can do: more would only queue there
 	maxShortage          = 1.5             // times as much for cold and trial machines while others are gone or cold: all share it
@@ -61,7 +60,7 @@
 		there += lb.warmUpCapacity(now-endpoint.startedAt) * lb.power(endpoint)
 		// One that nobody reaches says the same for ever; one just warm shows the work of the whole interval.
 		if lb.isWarm(endpoint, now-evidenceInterval) && now-endpoint.utilizationAt < utilizationTTL {
-			endpoint.busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
+			endpoint.evidence.busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
 		}
 		fresh := endpoint.startedAt > 0 && now-endpoint.startedAt <= lb.slowStart.warmUp+lb.slowStart.overloadSpan
 		if !fresh {
@@ -81,21 +80,7 @@
 		lb.slowStart.usualThroughput += usualThroughputGain * (acked/power - lb.slowStart.usualThroughput)
 	}
 	lb.slowStart.shortage = max(1, min(maxShortage, lb.endpointList.maxPower/max(there, 0.01)))
-	rollout := &lb.rollout
-	if work, acked := lb.requestCost(now); acked == 0 || now-rollout.underReportedAt < observationDecay {
-		// Nothing to go by: only voters hear all, and answers come after work. Guards against lost messages too.
-	} else if rollout.ownCounters == nil && rollout.baselineCost == 0 {
-		rollout.baselineCost = work
-	} else if rollout.ownCounters == nil || lb.canary.phase == PhaseCanary && lb.canaryEndpoints() == 0 { // none listed yet
-		rollout.baselineCost += baselineCostGain * (work - rollout.baselineCost)
-	} else if rollout.baselineCost > 0 && young <= grown { // not while the fleet has just gone back from a jam
-		// What commands cost the fleet, in those of before the build.
-		per := acked * float64(evidenceInterval) / float64(observationDecay) // since the last time
-		rollout.pendingFleetCost = append(rollout.pendingFleetCost, [2]float64{per, per * min(work/rollout.baselineCost, 10)})
-		if old := rollout.pendingFleetCost[0]; time.Duration(len(rollout.pendingFleetCost)) > evidenceTTL/evidenceInterval { // by now a loss of messages would show
-			rollout.fleetCost[0], rollout.fleetCost[1], rollout.pendingFleetCost = rollout.fleetCost[0]+old[0], rollout.fleetCost[1]+old[1], rollout.pendingFleetCost[1:]
-		}
-	}
+	lb.learnFleetCost(young <= grown, now)
 }
 
 // share is the number of this gateway's commands of the last span that fall to an instance by its power.
@@ -104,25 +89,6 @@
 	return float64(lb.slowStart.arrivals.count(now-span)) * power / max(lb.endpointList.maxPower, power)
 }
 
-// work is what a command costs warm machines lately, by their own figures and all gateways' answers, and
-// how many answers that was; no answers where none reports a figure.
-func (lb *Balancer) requestCost(now monotonic.Time) (work, acked float64) {
-	busy := 0.0
-	for _, endpoint := range lb.endpoints {
-		if endpoint.ready && now-endpoint.startedAt > lb.slowStart.warmUp && now-endpoint.utilizationAt < utilizationTTL {
-			endpoint.recordResults(0, 0, now)
-			busy += endpoint.utilization * lb.normalizedPower(endpoint)
-			// Made up for what nobody could tell before we heard all, or before the machine was known.
-			since := max(now-max(lb.rollout.underReportedAt, endpoint.learnedAt), evidenceInterval)
-			acked += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay(0, since, observationDecay))
-		}
-	}
-	if busy == 0 || acked == 0 {
-		return 0, 0
-	}
-	return busy / acked, acked
-}
-
 // able is the share of its capacity that an instance of this age has at least.
 func (lb *Balancer) warmUpCapacity(age time.Duration) float64 {
 	return lb.slowStart.initialCapacity + (1-lb.slowStart.initialCapacity)*max(0, min(1, float64(age)/float64(max(lb.slowStart.warmUp, 1))))
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -150,7 +150,6 @@
 	lastReportedVerdict  Verdict        // what was last told to the others
 	lastReportedOutliers int            // machines it named
 	nextVoterReportAt    monotonic.Time // when that is told again
-	rankings             []buildRanking
 	buildSeenAt          monotonic.Time // when the list first showed the build
 	stageStartedAt       monotonic.Time // when the present stage was first heard of
 	stageListed          bool           // the present stage was, in full
@@ -163,3 +162,51 @@
 	voteInFlight         bool // for its answer
 	nextVoteAt           monotonic.Time
 }
+
+func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
+	return rolloutState{
+		mode:           config.Mode,
+		promoteVotes:   config.PromoteVotes,
+		rollbackVotes:  config.RollbackVotes,
+		stageShares:    config.StageShares,
+		voteTTL:        config.VoteTTL,
+		answerTimeout:  config.AnswerTimeout,
+		peerMessages:   config.PeerMessages && gateways > 1,
+		lagCost:        costs.Lag,
+		harmCost:       costs.Harm,
+		promoteCheckAt: math.MaxInt64,
+		reports:        make([]*EvidenceReport, gateways),
+	}
+}
+
+// judging tells whether a build is under judgement: evidence for and against it is counted.
+func (rollout *rolloutState) judging() bool { return rollout.ownCounters != nil }
+
+// startStage begins a stage or a phase of the newest build.
+func (rollout *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
+	rollout.stageStartedAt = startedAt
+	rollout.nextVoteAt, rollout.stageListed, rollout.stageBaseline = 0, false, nil
+	if rollout.judging() && phase == PhaseCanary {
+		// What was clean at a smaller stage says little about this one.
+		rollout.fleetCost, rollout.pendingFleetCost = [2]float64{}, nil
+	}
+}
+
+// scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
+func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
+	lb.rollout.nextEvidenceAt = now + time.Duration(lb.draw(int(evidenceInterval/time.Millisecond)))*time.Millisecond
+}
+
+// advanceRollout does what is due for the build under judgement and returns when it is to be called again.
+func (lb *Balancer) advanceRollout(now monotonic.Time, due *DueWork) monotonic.Time {
+	rollout := &lb.rollout
+	if now >= rollout.nextEvidenceAt {
+		rollout.nextEvidenceAt = now + evidenceInterval
+		lb.learnFleetBaseline(now)
+		lb.shareEvidence(now, due)
+	} else if now >= rollout.promoteCheckAt {
+		rollout.promoteCheckAt = math.MaxInt64
+		lb.castVote(lb.currentVerdict(now), now, due)
+	}
+	return min(rollout.nextEvidenceAt, rollout.promoteCheckAt)
+}
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -141,15 +141,16 @@
 	var all []Observation
 	for _, lost := range []bool{true, false} {
 		for _, endpoint := range lb.endpoints {
-			one := endpoint.unreported
-			if len(all) == maxObservations || (one.Losses > 0) != lost || one.Successes+one.Losses == 0 && !endpoint.utilizationUnreported {
+			unreported := endpoint.unreported
+			if len(all) == maxObservations || (unreported.losses > 0) != lost || unreported.successes+unreported.losses == 0 && !unreported.utilization {
 				continue
 			}
-			if one.Endpoint, one.Utilization = endpoint, -1; endpoint.utilizationUnreported {
-				one.Utilization = endpoint.utilization
+			observation := Observation{Endpoint: endpoint, Utilization: -1, Successes: unreported.successes, Losses: unreported.losses}
+			if unreported.utilization {
+				observation.Utilization = endpoint.utilization
 			}
-			all = append(all, one)
-			endpoint.unreported, endpoint.utilizationUnreported = Observation{}, false
+			all = append(all, observation)
+			endpoint.unreported = unreportedResults{}
 		}
 	}
 	return all
