--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/sequentialtest"
 )
 
 const (
@@ -81,11 +82,15 @@
 		rollout.stageBaseline = slices.Clone(sum)
 	}
 	margin := min(minFailureMargin, harmFailureMargin*rollout.lagCost/max(rollout.harmCost, 1e-9))
-	var tt, tf, bt, bf, tw, bw float64
+	var canaryTotal, baselineTotal sequentialtest.Counts
+	var tw, bw float64
 	var logs []float64
 	for _, op := range lb.opTypes {
 		t, b := sum[lb.counterIndex(true, op):], sum[lb.counterIndex(false, op):]
-		tt, tf, bt, bf = tt+float64(t[0]), tf+float64(t[1]), bt+float64(b[0]), bf+float64(b[1])
+		canary := sequentialtest.Counts{Attempts: float64(t[0]), Failures: float64(t[1])}
+		baseline := sequentialtest.Counts{Attempts: float64(b[0]), Failures: float64(b[1])}
+		canaryTotal.Attempts, canaryTotal.Failures = canaryTotal.Attempts+canary.Attempts, canaryTotal.Failures+canary.Failures
+		baselineTotal.Attempts, baselineTotal.Failures = baselineTotal.Attempts+baseline.Attempts, baselineTotal.Failures+baseline.Failures
 		if rollout.costBaseline != nil {
 			tw += max(0, float64(t[2])-float64(rollout.costBaseline[lb.counterIndex(true, op)+2])) / 2
 			bw += max(0, float64(b[2])-float64(rollout.costBaseline[lb.counterIndex(false, op)+2])) / 2
@@ -93,9 +98,8 @@
 		// Beside all of the trial's tries those since its stage or its release: guards against builds that begin
 		// to fail once their machines have run for a while, which many clean tries would hide.
 		was := rollout.stageBaseline[lb.counterIndex(true, op):]
-		tries, fails := max(0, float64(t[0])-float64(was[0])), float64(t[1])-float64(was[1])
-		logs = append(logs, logFailureFactor(float64(t[0]), float64(t[1]), float64(b[0]), float64(b[1]), margin),
-			logFailureFactor(tries, fails, float64(b[0]), float64(b[1]), margin))
+		recent := sequentialtest.Counts{Attempts: max(0, float64(t[0])-float64(was[0])), Failures: float64(t[1]) - float64(was[1])}
+		logs = append(logs, sequentialtest.LogFailureFactor(canary, baseline, margin), sequentialtest.LogFailureFactor(recent, baseline, margin))
 	}
 	// Slowness by work, counted in commands of the earlier build, where machines tell how busy they are: it
 	// tells a slow build from queues, which load, cold keys and bursts make as well. It says nothing once few
@@ -105,13 +109,14 @@
 	slower, fleet, w := 0.0, 0.0, rollout.previousBusyTime
 	if lb.baselineRemains() && !rollout.underReported && rollout.costComparable && w[0] > 0 && w[1] > 0 && tw > 0 && bw > 0 {
 		may := tw * costMargin * (1 + singleEndpointCostMargin/float64(max(1, lb.canaryEndpoints())))
-		slower = logPairFactor(may, w[0]*bw/w[1], bw, bw)
+		slower = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: may, Failures: w[0] * bw / w[1]}, sequentialtest.Counts{Attempts: bw, Failures: bw})
 	}
 	if w[0] == 0 || w[0]*bw*costMargin >= w[1]*tw {
-		fleet = logPairFactor(rollout.fleetCost[0]*costMargin, rollout.fleetCost[1], rollout.fleetCost[0], rollout.fleetCost[0])
+		fleet = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: rollout.fleetCost[0] * costMargin, Failures: rollout.fleetCost[1]},
+			sequentialtest.Counts{Attempts: rollout.fleetCost[0], Failures: rollout.fleetCost[0]})
 	}
-	logs = append(logs, logFailureFactor(tt, tf, bt, bf, margin))
-	return logMeanExp(append(logs, slower, fleet)), logMeanExp(append(make([]float64, len(logs)), slower, fleet))
+	logs = append(logs, sequentialtest.LogFailureFactor(canaryTotal, baselineTotal, margin))
+	return sequentialtest.LogMean(append(logs, slower, fleet)), sequentialtest.LogMean(append(make([]float64, len(logs)), slower, fleet))
 }
 
 // trialMachines counts the ready machines of the build under judgement.
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/sequentialtest"
 )
 
 const (
@@ -48,8 +49,8 @@
 	}
 	// With few earlier machines left a case by failures must stand a while (guards against machines that begin
 	// to fail after a release, until they are named ill; harms where a build does so).
-	if level, work := lb.evidence(); level >= math.Log(1/alpha) {
-		rollout.rollbackCase = rollout.rollbackCase || lb.baselineRemains() || work >= math.Log(1/alpha) || now-rollout.rollbackCaseClearAt >= rollbackCaseHold
+	if level, work := lb.evidence(); level >= sequentialtest.LogThreshold() {
+		rollout.rollbackCase = rollout.rollbackCase || lb.baselineRemains() || work >= sequentialtest.LogThreshold() || now-rollout.rollbackCaseClearAt >= rollbackCaseHold
 	} else if rollout.rollbackCaseClearAt = now; rollout.mode == PromoteByTimer && level < math.Log(timerHoldLevel) {
 		rollout.rollbackCase = false
 	}
