--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -129,7 +128,7 @@
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
 		lb.admission.arrivalRate.Start(lb.startedAt)
-		lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval) // gateways take turns at the voters
+		lb.scheduleFirstReport(now)
 		lb.endpointList.polling.Start(lb.gateways, &lb.random, now)
 	}
 	for i, request := range lb.admission.queue.All {
@@ -146,15 +145,7 @@
 	for _, endpoint := range lb.endpoints {
 		until = min(until, lb.cancelSilentAttempts(endpoint, now, &due))
 	}
-	if rollout := &lb.rollout; now >= rollout.nextEvidenceAt {
-		rollout.nextEvidenceAt = now + evidenceInterval
-		lb.learnFleetBaseline(now)
-		lb.shareEvidence(now, &due)
-	} else if now >= rollout.promoteCheckAt { // the wait before 'on' is over
-		rollout.promoteCheckAt = math.MaxInt64
-		lb.castVote(lb.currentVerdict(now), now, &due)
-	}
-	until = min(until, lb.rollout.nextEvidenceAt, lb.rollout.promoteCheckAt)
+	until = min(until, lb.advanceRollout(now, &due))
 	return max(until-now, lb.tick), due
 }
 
@@ -193,4 +184,5 @@
 	slowStart    slowStartState
 	endpointList endpointListState
 	rollout      rolloutState
+	rankings     []buildRanking // of the ready endpoints' error and loss rates, by build
 }
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/sequentialtest"
 )
 
 const (
@@ -24,7 +25,7 @@
 		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
 		return
 	}
-	c := &attempt.Endpoint.evidence[attempt.Request.opType.index]
+	c := &attempt.Endpoint.evidence.byOpType[attempt.Request.opType.index]
 	// At its end, by its machine's age then, as the work counts: what still queues has cost none yet.
 	if lb.isWarm(attempt.Endpoint, now) && (outcome == OutcomeSuccess || outcome == OutcomeError) {
 		c[2] += 2
@@ -41,8 +42,8 @@
 		c[1]++
 	}
 	// The deliveries that one crash breaks are one failure, not many, and one among all gateways: by lot.
-	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.connectionsLostAt {
-		attempt.Endpoint.connectionsLostAt = attempt.sentAt + took
+	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.evidence.connectionsLostAt {
+		attempt.Endpoint.evidence.connectionsLostAt = attempt.sentAt + took
 		if lb.random.Below(lb.gateways) == 0 {
 			c[1]++
 		}
@@ -81,11 +82,15 @@
 		rollout.stageBaseline = slices.Clone(sum)
 	}
 	margin := min(minFailureMargin, harmFailureMargin*rollout.lagCost/max(rollout.harmCost, 1e-9))
-	var tt, tf, bt, bf, tw, bw float64
+	var canaryTotal, baselineTotal sequentialtest.Counts
+	var tw, bw float64
 	var logs []float64
 	for _, op := range lb.opTypes {
 		t, b := sum[lb.counterIndex(true, op):], sum[lb.counterIndex(false, op):]
-		tt, tf, bt, bf = tt+float64(t[0]), tf+float64(t[1]), bt+float64(b[0]), bf+float64(b[1])
+		canary := sequentialtest.Counts{Attempts: float64(t[0]), Failures: float64(t[1])}
+		baseline := sequentialtest.Counts{Attempts: float64(b[0]), Failures: float64(b[1])}
+		canaryTotal.Attempts, canaryTotal.Failures = canaryTotal.Attempts+canary.Attempts, canaryTotal.Failures+canary.Failures
+		baselineTotal.Attempts, baselineTotal.Failures = baselineTotal.Attempts+baseline.Attempts, baselineTotal.Failures+baseline.Failures
 		if rollout.costBaseline != nil {
 			tw += max(0, float64(t[2])-float64(rollout.costBaseline[lb.counterIndex(true, op)+2])) / 2
 			bw += max(0, float64(b[2])-float64(rollout.costBaseline[lb.counterIndex(false, op)+2])) / 2
@@ -93,9 +98,8 @@
 		// Beside all of the trial's tries those since its stage or its release: guards against builds that begin
 		// to fail once their machines have run for a while, which many clean tries would hide.
 		was := rollout.stageBaseline[lb.counterIndex(true, op):]
-		tries, fails := max(0, float64(t[0])-float64(was[0])), float64(t[1])-float64(was[1])
-		logs = append(logs, logFailureFactor(float64(t[0]), float64(t[1]), float64(b[0]), float64(b[1]), margin),
-			logFailureFactor(tries, fails, float64(b[0]), float64(b[1]), margin))
+		recent := sequentialtest.Counts{Attempts: max(0, float64(t[0])-float64(was[0])), Failures: float64(t[1]) - float64(was[1])}
+		logs = append(logs, sequentialtest.LogFailureFactor(canary, baseline, margin), sequentialtest.LogFailureFactor(recent, baseline, margin))
 	}
 	// Slowness by work, counted in commands of the earlier build, where machines tell how busy they are: it
 	// tells a slow build from queues, which load, cold keys and bursts make as well. It says nothing once few
@@ -105,13 +109,14 @@
 	slower, fleet, w := 0.0, 0.0, rollout.previousBusyTime
 	if lb.baselineRemains() && !rollout.underReported && rollout.costComparable && w[0] > 0 && w[1] > 0 && tw > 0 && bw > 0 {
 		may := tw * costMargin * (1 + singleEndpointCostMargin/float64(max(1, lb.canaryEndpoints())))
-		slower = logPairFactor(may, w[0]*bw/w[1], bw, bw)
+		slower = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: may, Failures: w[0] * bw / w[1]}, sequentialtest.Counts{Attempts: bw, Failures: bw})
 	}
 	if w[0] == 0 || w[0]*bw*costMargin >= w[1]*tw {
-		fleet = logPairFactor(rollout.fleetCost[0]*costMargin, rollout.fleetCost[1], rollout.fleetCost[0], rollout.fleetCost[0])
+		fleet = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: rollout.fleetCost[0] * costMargin, Failures: rollout.fleetCost[1]},
+			sequentialtest.Counts{Attempts: rollout.fleetCost[0], Failures: rollout.fleetCost[0]})
 	}
-	logs = append(logs, logFailureFactor(tt, tf, bt, bf, margin))
-	return logMeanExp(append(logs, slower, fleet)), logMeanExp(append(make([]float64, len(logs)), slower, fleet))
+	logs = append(logs, sequentialtest.LogFailureFactor(canaryTotal, baselineTotal, margin))
+	return sequentialtest.LogMean(append(logs, slower, fleet)), sequentialtest.LogMean(append(make([]float64, len(logs)), slower, fleet))
 }
 
 // trialMachines counts the ready machines of the build under judgement.
@@ -153,7 +158,7 @@
 // ToldWrong tells that a client judged an answer of an instance wrong.
 func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt, now monotonic.Time) {
 	if sentAt >= lb.rollout.buildSeenAt {
-		endpoint.evidence[op.index][1]++
+		endpoint.evidence.byOpType[op.index][1]++
 	}
 }
 
@@ -201,7 +206,7 @@
 	rollout.costBaseline, rollout.joinedMidCanary, rollout.costBaselineAt = lb.pooledCounters(), true, now
 	rollout.previousBusyTime, rollout.busyTime, rollout.departedBusyTime = [2]float64{}, [2]float64{}, [2]float64{}
 	for _, endpoint := range lb.endpoints {
-		endpoint.busyTime = 0
+		endpoint.evidence.busyTime = 0
 	}
 }
 
@@ -209,9 +214,9 @@
 // alone.
 func (lb *Balancer) addEndpointEvidence(endpoint *Endpoint, cells []uint32, work *[2]float64, workOnly bool) {
 	trial := endpoint.build >= lb.rollout.build
-	work[lb.side(trial)] += endpoint.busyTime
+	work[lb.side(trial)] += endpoint.evidence.busyTime
 	for i, op := range lb.opTypes {
-		for k, n := range endpoint.evidence[i] {
+		for k, n := range endpoint.evidence.byOpType[i] {
 			if k >= 2 || !workOnly {
 				cells[lb.counterIndex(trial, op)+k] += n
 			}
@@ -221,10 +226,10 @@
 
 // retire keeps what a machine that leaves has shown, and starts it anew.
 func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
-	if endpoint.evidence != nil && lb.rollout.ownCounters != nil {
+	if endpoint.evidence.byOpType != nil && lb.rollout.ownCounters != nil {
 		lb.addEndpointEvidence(endpoint, lb.rollout.departedCounters, &lb.rollout.departedBusyTime, false)
 	}
-	endpoint.evidence, endpoint.busyTime = make([][countersPerOpType]uint32, len(lb.opTypes)), 0
+	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([][countersPerOpType]uint32, len(lb.opTypes)), 0
 }
 
 // baseLeft tells whether enough of the ready machines run an earlier build.
@@ -238,3 +243,16 @@
 	}
 	return left*minBaselineOneIn >= all
 }
+
+// endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
+type endpointEvidence struct {
+	byOpType          [][countersPerOpType]uint32
+	busyTime          float64        // by the endpoint's own utilization, weighed by its power
+	connectionsLostAt monotonic.Time // when it last broke connections
+}
+
+// unreportedResults is what this gateway has seen of an endpoint since its last evidence report.
+type unreportedResults struct {
+	successes, losses int
+	utilization       bool // the endpoint has reported its utilization
+}
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/sequentialtest"
 )
 
 const (
@@ -48,8 +49,8 @@
 	}
 	// With few earlier machines left a case by failures must stand a while (guards against machines that begin
 	// to fail after a release, until they are named ill; harms where a build does so).
-	if level, work := lb.evidence(); level >= math.Log(1/alpha) {
-		rollout.rollbackCase = rollout.rollbackCase || lb.baselineRemains() || work >= math.Log(1/alpha) || now-rollout.rollbackCaseClearAt >= rollbackCaseHold
+	if level, work := lb.evidence(); level >= sequentialtest.LogThreshold() {
+		rollout.rollbackCase = rollout.rollbackCase || lb.baselineRemains() || work >= sequentialtest.LogThreshold() || now-rollout.rollbackCaseClearAt >= rollbackCaseHold
 	} else if rollout.rollbackCaseClearAt = now; rollout.mode == PromoteByTimer && level < math.Log(timerHoldLevel) {
 		rollout.rollbackCase = false
 	}
@@ -150,7 +151,6 @@
 	lastReportedVerdict  Verdict        // what was last told to the others
 	lastReportedOutliers int            // machines it named
 	nextVoterReportAt    monotonic.Time // when that is told again
-	rankings             []buildRanking
 	buildSeenAt          monotonic.Time // when the list first showed the build
 	stageStartedAt       monotonic.Time // when the present stage was first heard of
 	stageListed          bool           // the present stage was, in full
@@ -163,3 +163,51 @@
 	voteInFlight         bool // for its answer
 	nextVoteAt           monotonic.Time
 }
+
+func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
+	return rolloutState{
+		mode:           config.Mode,
+		promoteVotes:   config.PromoteVotes,
+		rollbackVotes:  config.RollbackVotes,
+		stageShares:    config.StageShares,
+		voteTTL:        config.VoteTTL,
+		answerTimeout:  config.AnswerTimeout,
+		peerMessages:   config.PeerMessages && gateways > 1,
+		lagCost:        costs.Lag,
+		harmCost:       costs.Harm,
+		promoteCheckAt: math.MaxInt64,
+		reports:        make([]*EvidenceReport, gateways),
+	}
+}
+
+// judging tells whether a build is under judgement: evidence for and against it is counted.
+func (rollout *rolloutState) judging() bool { return rollout.ownCounters != nil }
+
+// startStage begins a stage or a phase of the newest build.
+func (rollout *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
+	rollout.stageStartedAt = startedAt
+	rollout.nextVoteAt, rollout.stageListed, rollout.stageBaseline = 0, false, nil
+	if rollout.judging() && phase == PhaseCanary {
+		// What was clean at a smaller stage says little about this one.
+		rollout.fleetCost, rollout.pendingFleetCost = [2]float64{}, nil
+	}
+}
+
+// scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
+func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
+	lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval)
+}
+
+// advanceRollout does what is due for the build under judgement and returns when it is to be called again.
+func (lb *Balancer) advanceRollout(now monotonic.Time, due *DueWork) monotonic.Time {
+	rollout := &lb.rollout
+	if now >= rollout.nextEvidenceAt {
+		rollout.nextEvidenceAt = now + evidenceInterval
+		lb.learnFleetBaseline(now)
+		lb.shareEvidence(now, due)
+	} else if now >= rollout.promoteCheckAt {
+		rollout.promoteCheckAt = math.MaxInt64
+		lb.castVote(lb.currentVerdict(now), now, due)
+	}
+	return min(rollout.nextEvidenceAt, rollout.promoteCheckAt)
+}
