--- a/decision/admission.go
+++ b/decision/admission.go
@@ -37,7 +37,7 @@
 	}
 	lb.canary.exposure.RecordRequest(op.index, now)
 	lb.admission.arrivalRate.Record(now)
-	lb.slowStart.arrivals.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	lb.slowStart.recordArrival(now)
 	lb.canary.stickyKeys.RecordRequest(arrival.Key, lb.rollout.build)
 	return request
 }
--- a/decision/config.go
+++ b/decision/config.go
@@ -11,8 +11,8 @@
 	"laurelring/decision/seeded"
 )
 
-// Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
-// it changes later.
+// Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. None of it
+// changes later.
 type Config struct {
 	Seed     uint64        // of all random draws
 	Rank     int           // this gateway's number, from 0 on
@@ -66,8 +66,8 @@
 type SlowStartConfig struct {
 	InitialCapacity  float64       // share of its capacity that an endpoint has at its start
 	WarmUp           time.Duration // until it has all of it
-	OverloadMultiple float64       // of its present capacity: it falls over once it gets more
-	OverloadSpan     time.Duration // for so long
+	OverloadMultiple float64       // of its present capacity: it is overloaded once it gets more
+	OverloadSpan     time.Duration // within this span
 }
 
 // ExposureConfig bounds the attempts at a canary build.
@@ -91,10 +91,10 @@
 	PeerMessages  bool          // gateways may send one another messages
 }
 
-// ErrConfig is wrapped by each error that New gives.
+// ErrConfig is wrapped by each error that New returns.
 var ErrConfig = errors.New("invalid balancer configuration")
 
-// validate refuses figures that no deployment can mean. It is no check of plausibility.
+// validate refuses figures that no deployment can mean. It does not check whether they are plausible.
 func (c *Config) validate() error {
 	switch {
 	case c.Rank < 0:
@@ -110,20 +110,20 @@
 	return nil
 }
 
-// New makes the balancer of one gateway. An error wraps ErrConfig.
+// New returns the balancer of one gateway. An error wraps ErrConfig.
 func New(config Config) (*Balancer, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	gateways := max(config.Gateways, 1)
 	lb := &Balancer{
-		random:              seeded.New(config.Seed),
-		rank:                config.Rank,
-		gateways:            gateways,
-		zone:                config.Zone,
-		tick:                max(config.Tick, time.Millisecond),
-		meanRelativeLatency: 1,
-		admission:           admissionState{window: admission.NewConcurrencyWindow()},
+		random:    seeded.New(config.Seed),
+		rank:      config.Rank,
+		gateways:  gateways,
+		zone:      config.Zone,
+		tick:      max(config.Tick, time.Millisecond),
+		machines:  machineTypes{meanRelativeLatency: 1},
+		admission: admissionState{window: admission.NewConcurrencyWindow()},
 		attemptLimits: attemptLimits{
 			maxAttempts:   config.Attempts.Max,
 			mayCancel:     config.Attempts.MayCancel,
@@ -146,7 +146,7 @@
 	return lb, nil
 }
 
-// OpTypes gives the op types in the order of the configuration.
+// OpTypes returns the op types in the order of the configuration.
 func (lb *Balancer) OpTypes() []*OpType { return lb.opTypes }
 
 // Tenants returns the tenants in the order of the configuration.
@@ -174,13 +174,3 @@
 		meanLatency:      initialMeanLatencyShare * float64(config.LatencyObjective),
 	}
 }
-
-func newSlowStartState(config SlowStartConfig) slowStartState {
-	return slowStartState{
-		initialCapacity:  config.InitialCapacity,
-		warmUp:           config.WarmUp,
-		overloadMultiple: config.OverloadMultiple,
-		overloadSpan:     config.OverloadSpan,
-		shortage:         1,
-	}
-}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -4,15 +4,35 @@
 	"slices"
 
 	"laurelring/decision/monotonic"
-	"laurelring/decision/slidingwindow"
 )
 
-// Ready tells whether the list names an instance as one that takes deliveries.
-func (lb *Balancer) EndpointReady(endpoint *Endpoint) bool { return endpoint.listed && endpoint.ready }
+// Endpoint is one endpoint for as long as the endpoint list names it or an attempt at it is in flight. The zero value is
+// an endpoint that no list has named yet.
+type Endpoint struct {
+	endpointListing
+	endpointLoad
+	endpointHealth
+	endpointResults
+
+	drawKey    uint64 // random, for what differs from endpoint to endpoint at a gateway
+	unreported unreportedResults
+	evidence   endpointEvidence
+}
 
-// ToldLoad tells how busy an instance says it is.
-func (lb *Balancer) LoadReported(endpoint *Endpoint, busy float64, now monotonic.Time) {
-	endpoint.utilization, endpoint.utilizationAt, endpoint.unreported.utilization = busy, now, true
+// endpointListing is what the endpoint list says of an endpoint, and what is known of that.
+type endpointListing struct {
+	listed         bool // it is among the balancer's endpoints
+	ready          bool // it takes new requests
+	present        bool // it runs or drains
+	build          int
+	zone           int
+	machineType    int
+	cell           int
+	size           float64
+	startedAt      monotonic.Time // 0 for long ago
+	firstStartedAt monotonic.Time // when it first started with its build
+	learnedAt      monotonic.Time // when its latest start became known
+	provedReadyAt  monotonic.Time // the start of the latest attempt that proved that it did not drain
 }
 
 // EndpointStatus is what the endpoint list says of one endpoint.
@@ -27,6 +47,15 @@
 	StartedAt   monotonic.Time // 0 for long ago
 }
 
+// EndpointReady reports whether the list names an endpoint as one that takes new requests.
+func (lb *Balancer) EndpointReady(endpoint *Endpoint) bool { return endpoint.listed && endpoint.ready }
+
+// LoadReported takes in an endpoint's own report of its utilization: 1 where it is fully busy.
+func (lb *Balancer) LoadReported(endpoint *Endpoint, utilization float64, now monotonic.Time) {
+	endpoint.utilization, endpoint.utilizationAt = utilization, now
+	endpoint.unreported.utilization = true
+}
+
 // UpdateEndpoint takes in one entry of the endpoint list. CommitEndpointList ends the update.
 func (lb *Balancer) UpdateEndpoint(endpoint *Endpoint, status EndpointStatus, now monotonic.Time) {
 	if !endpoint.listed {
@@ -39,8 +68,8 @@
 	if endpoint.firstStartedAt == 0 || status.Build != endpoint.build {
 		endpoint.firstStartedAt = status.StartedAt
 	}
-	if status.StartedAt != endpoint.startedAt || status.Build != endpoint.build || endpoint.concurrencyLimit == 0 {
-		endpoint.resetHealth(lb.machineType(status.MachineType).relativeLatency, now)
+	if status.StartedAt != endpoint.startedAt || status.Build != endpoint.build || endpoint.limit.size == 0 {
+		endpoint.reset(lb.machineType(status.MachineType).relativeLatency, now)
 	}
 	endpoint.ready = status.Ready && status.Present
 	endpoint.present = status.Present
@@ -55,9 +84,9 @@
 	}
 }
 
-// resetHealth forgets what was learned of an endpoint that has started anew, or with another build.
-func (endpoint *Endpoint) resetHealth(relativeLatency float64, now monotonic.Time) {
-	endpoint.concurrencyLimit = initialConcurrencyLimit
+// reset forgets what was learned of an endpoint that has restarted, or runs another build.
+func (endpoint *Endpoint) reset(relativeLatency float64, now monotonic.Time) {
+	endpoint.limit.size = initialConcurrencyLimit
 	endpoint.relativeLatency = relativeLatency
 	endpoint.consecutiveFailures = 0
 	endpoint.ejectedUntil = 0
@@ -70,90 +99,45 @@
 	endpoint.provedReadyAt = 0
 }
 
-// ToldListEnd closes an update of the list.
+// RetainEndpoints takes in which endpoints a complete list named: the others are gone.
+func (lb *Balancer) RetainEndpoints(named map[*Endpoint]bool, now monotonic.Time) {
+	for _, endpoint := range lb.endpoints {
+		if !named[endpoint] {
+			endpoint.ready, endpoint.present = false, false
+		}
+	}
+}
+
+// CommitEndpointList ends an update of the endpoint list. A cached list is one that discovery did not send just now.
 func (lb *Balancer) CommitEndpointList(cached bool, now monotonic.Time) {
-	power, places, newest := 0.0, 0, 0
 	lb.endpoints = slices.DeleteFunc(lb.endpoints, func(endpoint *Endpoint) bool {
 		if endpoint.listed = endpoint.ready || endpoint.present || len(endpoint.inFlight) > 0; !endpoint.listed {
 			lb.retireEvidence(endpoint)
 		}
 		return !endpoint.listed
 	})
-	for _, endpoint := range lb.endpoints {
-		if endpoint.ready {
-			newest = max(newest, endpoint.build)
-			if !lb.rollout.judging() || endpoint.build < lb.rollout.build { // a replaced machine and its successor are one place
-				power += lb.power(endpoint)
-				places++
-			}
-		}
-	}
-	lb.endpointList.maxPower, lb.endpointList.maxEndpoints = max(lb.endpointList.maxPower, power), max(lb.endpointList.maxEndpoints, places)
+	newestBuild := lb.learnFleetSize()
 	if !cached {
 		lb.endpointList.polling.Succeeded()
 	}
-	lb.beginCanary(newest, now)
+	lb.beginCanary(newestBuild, now)
 }
 
-// ToldOnly tells which instances a whole list named: the others are gone.
-func (lb *Balancer) RetainEndpoints(named map[*Endpoint]bool, now monotonic.Time) {
+// learnFleetSize takes the ready endpoints into the fleet's largest size and returns the newest build among them. Endpoints
+// of a build under judgement do not count: they replace others.
+func (lb *Balancer) learnFleetSize() (newestBuild int) {
+	power, endpoints := 0.0, 0
 	for _, endpoint := range lb.endpoints {
-		if !named[endpoint] {
-			endpoint.ready, endpoint.present = false, false
+		if !endpoint.ready {
+			continue
+		}
+		newestBuild = max(newestBuild, endpoint.build)
+		if !lb.rollout.judging() || endpoint.build < lb.rollout.build {
+			power += lb.power(endpoint)
+			endpoints++
 		}
 	}
-}
-
-// power is what an instance can do against others: its size at the pace of its kind of machine.
-func (lb *Balancer) power(endpoint *Endpoint) float64 {
-	return endpoint.size / lb.machineType(endpoint.machineType).relativeLatency
-}
-
-// even is power at the mean pace of all kinds of machine: with one kind its size, however its answers go.
-func (lb *Balancer) normalizedPower(endpoint *Endpoint) float64 {
-	return lb.power(endpoint) * lb.meanRelativeLatency
-}
-
-// model gives what is known of a kind of machine.
-func (lb *Balancer) machineType(number int) *MachineType {
-	for len(lb.machineTypes) <= number {
-		lb.machineTypes = append(lb.machineTypes, &MachineType{relativeLatency: 1})
-	}
-	return lb.machineTypes[number]
-}
-
-// Instance lives as long as the list names it.
-type Endpoint struct {
-	listed         bool
-	drawKey        uint64 // marks it in draws
-	ready          bool
-	present        bool // it runs or drains
-	build          int
-	zone           int
-	machineType    int
-	cell           int
-	size           float64
-	startedAt      monotonic.Time
-	firstStartedAt monotonic.Time // when it first started with its build
-
-	learnedAt                       monotonic.Time       // when its start was told
-	lastAttemptAt                   monotonic.Time       // our last delivery since then
-	inFlight                        []*Attempt           // ours, in sending order
-	recentAttempts                  slidingwindow.Window // our deliveries within the cold span
-	recentSuccesses                 slidingwindow.Window // what it answered us within the cold span
-	concurrencyLimit                float64              // how many of ours it may hold
-	limitDecreasedAt                monotonic.Time       // when the limit was last cut
-	relativeLatency                 float64              // smoothed time of its answers against the op types' means
-	utilization                     float64              // its own figure, where it reports one
-	utilizationAt                   monotonic.Time       // when that was told
-	lastResponseAt                  monotonic.Time       // its last sign of life
-	provedReadyAt                   monotonic.Time       // the latest sending of a delivery by which it proved that it did not drain
-	consecutiveFailures             int                  // silent failures in a row
-	ejectedUntil                    monotonic.Time
-	outlierUntil                    monotonic.Time // the voters say to leave it alone until then
-	unreported                      unreportedResults
-	decayedSuccesses, decayedLosses float64 // answers and losses lately, of all gateways heard
-	decayedAt                       monotonic.Time
-	errorRate                       float64 // smoothed share of errors
-	evidence                        endpointEvidence
+	lb.endpointList.maxPower = max(lb.endpointList.maxPower, power)
+	lb.endpointList.maxEndpoints = max(lb.endpointList.maxEndpoints, endpoints)
+	return newestBuild
 }
--- a/decision/messages.go
+++ b/decision/messages.go
@@ -6,66 +6,50 @@
 	"laurelring/decision/monotonic"
 )
 
-// Kind says how often a command of an op type may run.
-type Idempotency uint8
-
-// The three kinds of op type.
-const (
-	Idempotent Idempotency = iota
-	IdempotentByKey
-	NonIdempotent
-)
-
-// Group names the instances that drop repeats of a deduplicated command.
-type DeduplicationScope uint8
-
-// The groups that drop repeats.
-const (
-	ScopeAll DeduplicationScope = iota
-	ScopeZone
-	ScopeCell
-)
-
-// Outcome says how a delivery, a vote or a probe ended.
+// Outcome says how an attempt, or the call for a vote, ended.
 type Outcome uint8
 
-// The outcomes. Rejected, Unconnected and Unsent prove that the command never ran.
 const (
-	OutcomeSuccess Outcome = iota
-	OutcomeError
-	OutcomeRejected
-	OutcomeTimeout
-	OutcomeConnectFailed
-	OutcomeConnectionLost
-	OutcomeCanceled
-	OutcomeNotSent
+	OutcomeSuccess        Outcome = iota // answered
+	OutcomeError                         // answered with an error
+	OutcomeRejected                      // the endpoint refused it: it did not execute
+	OutcomeTimeout                       // no answer in time
+	OutcomeConnectFailed                 // no connection: it did not execute
+	OutcomeConnectionLost                // the connection broke before the answer
+	OutcomeCanceled                      // the gateway stopped waiting for it
+	OutcomeNotSent                       // nothing of it went out: it did not execute
 )
 
-// Control says how votes move a build.
+// provesNotExecuted reports whether the endpoint certainly did not execute the request.
+func (o Outcome) provesNotExecuted() bool {
+	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotSent
+}
+
+// PromotionMode says how votes move a build from stage to stage.
 type PromotionMode uint8
 
-// The ways votes act: one vote is enough, a number of gateways is needed, or a clock moves stages on.
 const (
-	PromoteByAnyVote PromotionMode = iota
-	PromoteByQuorum
-	PromoteByTimer
+	PromoteByAnyVote PromotionMode = iota // one vote is enough
+	PromoteByQuorum                       // a number of gateways must vote
+	PromoteByTimer                        // stages follow one another by a clock; votes only roll back
 )
 
-// Phase is where a build stands.
+// String returns the name for a log or an error.
+func (m PromotionMode) String() string { return [...]string{"any vote", "quorum", "timer"}[m] }
+
+// RolloutPhase is where a build stands.
 type RolloutPhase uint8
 
-// The phases of a build.
 const (
-	PhaseCanary RolloutPhase = iota
-	PhaseRollingBack
-	PhaseReleased
-	PhaseRolledBack
+	PhaseCanary      RolloutPhase = iota // a share of the endpoints runs it, by stage
+	PhaseRollingBack                     // endpoints return to the build before
+	PhaseReleased                        // it is no canary build any more
+	PhaseRolledBack                      // no endpoint runs it any more
 )
 
-// Verdict is a vote's word on a build.
+// Verdict is what a vote asks for a build.
 type Verdict uint8
 
-// The verdicts.
 const (
 	VerdictNone Verdict = iota
 	VerdictPromote
@@ -73,84 +57,84 @@
 	VerdictRollBack
 )
 
-// Act is what the caller is to do with a command now.
+// Action is what the caller is to do with a request now.
 type Action uint8
 
-// Nothing: the command is over or a delivery is out. Hold: not yet; Chores.Ready names it when its turn has
-// come. Send: deliver to To, for at most For. Nack and Fail are final answers; After tells the client when
-// to come back.
 const (
-	ActionNone Action = iota
-	ActionQueue
-	ActionForward
-	ActionReject
-	ActionFail
+	ActionNone    Action = iota // nothing: the request is completed, or an attempt of it is in flight
+	ActionQueue                 // nothing yet: DueWork.Requests names it when its turn has come
+	ActionForward               // start Decision.Attempt
+	ActionReject                // answer that the client may try again
+	ActionFail                  // answer that the request failed and may have been executed
 )
 
-// Reason says why a command got a final answer that is not an instance's.
+// String returns the name for the log.
+func (a Action) String() string {
+	return [...]string{"none", "queue", "forward", "reject", "fail"}[a]
+}
+
+// RejectReason says why a request got a final answer that is not an endpoint's.
 type RejectReason uint8
 
-// The reasons. NoReason goes with decisions that are no final answer.
 const (
-	ReasonNone              RejectReason = iota
-	ReasonDeadlineTooClose               // the time left is shorter than a delivery is expected to take
-	ReasonAttemptsExhausted              // it has had as many deliveries as a command may have
-	ReasonMayHaveExecuted                // a delivery may have run, and the command must not run twice
+	ReasonNone              RejectReason = iota // the decision is no final answer
+	ReasonDeadlineTooClose                      // less time is left than an attempt is expected to take
+	ReasonAttemptsExhausted                     // it has had as many attempts as a request may have
+	ReasonMayHaveExecuted                       // an attempt may have executed, and none may follow it
 )
 
-// Decision answers "where to send this command" and "what to do after this outcome".
+// Decision says what becomes of a request: where an attempt goes, or which final answer the client gets.
 type Decision struct {
 	Action     Action
-	Reason     RejectReason // of a Nack or a Fail
-	Endpoint   *Endpoint
-	Timeout    time.Duration // ns; the delivery's own time-out
-	RetryAfter time.Duration // ns; advice to the client with a Nack, 0 for none
-	Attempt    *Attempt
+	Reason     RejectReason  // with ActionReject and ActionFail
+	Attempt    *Attempt      // with ActionForward
+	Endpoint   *Endpoint     // of the attempt
+	Timeout    time.Duration // of the attempt
+	RetryAfter time.Duration // advice to the client with ActionReject; 0 for none
 }
 
-// Vote is due to be cast.
+// Vote is to be cast at the rollout controller.
 type Vote struct {
 	Build, Stage int
 	Verdict      Verdict
 }
 
-// Chores are what is due besides commands: they come back with the wait.
+// DueWork is what Tick asks the caller to do.
 type DueWork struct {
-	Requests           []*Request      // held commands to ask about again, in this order
+	Requests           []*Request      // queued requests to call Route for again, in this order
 	Votes              []Vote          // at most one
-	EvidenceReport     *EvidenceReport // to be sent to the gateways in Voters
-	EvidenceRecipients []int           // numbers of gateways
-	VoterReport        *VoterReport    // to be told to all other gateways
-	PollDiscovery      bool            // ask the list for its changes
-	CancelAttempts     []*Attempt      // deliveries to call off
+	EvidenceReport     *EvidenceReport // to be sent to the gateways in EvidenceRecipients; nil for none
+	EvidenceRecipients []int           // ranks of gateways
+	VoterReport        *VoterReport    // to be sent to all other gateways; nil for none
+	PollDiscovery      bool            // ask discovery for changes of the endpoint list
+	CancelAttempts     []*Attempt      // attempts to stop waiting for
 }
 
-// Totals is one gateway's running evidence on a build, as sent to the voters: plain counters, laid out by
-// the module.
+// EvidenceReport is one gateway's evidence on a build since it first saw the build, as sent to the voters.
 type EvidenceReport struct {
-	Sender       int            // the sender's number
-	CountedAt    monotonic.Time // ns; when it was counted: the latest stands
+	Sender       int            // the sender's rank
+	CountedAt    monotonic.Time // when it was counted: the latest one of a sender counts
 	Build        int
-	Counters     []uint32
+	Counters     []uint32 // running counters, whose layout is the package's own
 	Observations []Observation
 }
 
-// Sight is what a gateway saw of one machine since it last told.
+// Observation is what a gateway saw of one endpoint since its last report.
 type Observation struct {
 	Endpoint          *Endpoint
-	Utilization       float64 // the machine's own figure, below 0 for none
+	Utilization       float64 // as the endpoint reported it, below 0 for none
 	Successes, Losses int
 }
 
-// Finding is what a voter made of the pooled totals, as told to the gateways that do not vote by their own.
+// VoterReport is what a voter concluded from the pooled evidence, as sent to the gateways that follow it.
 type VoterReport struct {
 	Sender       int
-	FoundAt      monotonic.Time // ns; when it was found: the latest stands
+	FoundAt      monotonic.Time // the latest one of a sender counts
 	Build        int
 	Stage        int
 	Verdict      Verdict
-	Outliers     []*Endpoint // machines that most gateways lose deliveries at
-	BaselineCost float64     // what a command costs the fleet while no build is on trial
+	Outliers     []*Endpoint // endpoints at which most gateways lose attempts
+	BaselineCost float64     // what a request costs the fleet while no canary build runs; 0 where it is not known
 
 	receivedAt monotonic.Time
 }
--- a/decision/request.go
+++ b/decision/request.go
@@ -7,12 +7,15 @@
 )
 
 const (
-	initialMeanLatencyShare = 0.25 // of the service target: taken for a mean time before there is one
-	lateValueThreshold      = 0.5  // of a command's importance: a late answer worth less gives way to commands that wait
+	initialMeanLatencyShare = 0.25 // of the latency objective: the mean latency before any answer
+	lateValueThreshold      = 0.5  // of the priority weight: a late answer worth less gives way to queued requests
+	meanLatencyGain         = 0.05 // of each new duration in the mean latency
+	firstAttemptLatency     = 1.3  // times the mean latency: what a first attempt is expected to take, but no more than
+	firstAttemptShare       = 0.85 // this share of the latency objective
 )
 
-// bound is the moment after which an answer is not worth its work: the service target where a late one
-// earns nothing, or little while others wait for room; else the client's patience.
+// worthwhileUntil is the moment after which an answer is not worth its work: that of the latency objective where a late
+// answer has no value, or little while others are queued, and else the deadline.
 func (lb *Balancer) worthwhileUntil(request *Request) time.Duration {
 	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && lb.QueueLength() > 0 {
 		return request.latencyDeadline
@@ -20,69 +23,45 @@
 	return request.deadline
 }
 
-// expected is the time a delivery is expected to take; a first one is not refused for an inflated mean.
+// expectedLatency is how long the next attempt is expected to take, in nanoseconds. A first one is not refused because the
+// mean is inflated.
 func (lb *Balancer) expectedLatency(request *Request) float64 {
 	if len(request.attempts) == 0 {
-		return min(request.opType.meanLatency*1.3, float64(request.opType.latencyObjective)*0.85)
+		return min(request.opType.meanLatency*firstAttemptLatency, float64(request.opType.latencyObjective)*firstAttemptShare)
 	}
 	return request.opType.meanLatency
 }
 
-// giveUp gives the final answer. A nack says that trying again is harmless: only where no delivery can have
-// run, or where a repeat does no harm.
-func (lb *Balancer) refuse(request *Request, why RejectReason) Decision {
+// refuse gives a request its final answer. A rejection says that trying again does no harm, so it is given only where no
+// attempt can have executed, or where a repeat does no harm.
+func (lb *Balancer) refuse(request *Request, reason RejectReason) Decision {
 	lb.dequeue(request)
 	request.completed = true
 	for _, attempt := range request.attempts {
 		if attempt.mayHaveExecuted && !request.opType.safeToRepeat() {
-			return Decision{Action: ActionFail, Reason: why}
+			return Decision{Action: ActionFail, Reason: reason}
 		}
 	}
-	after := time.Duration(request.opType.meanLatency)
+	retryAfter := time.Duration(request.opType.meanLatency)
 	if lb.QueueLength() > 0 {
-		after = lb.attemptLimits.maxRetryAfter // others wait already
+		retryAfter = lb.attemptLimits.maxRetryAfter
 	}
-	return Decision{Action: ActionReject, Reason: why, RetryAfter: min(lb.attemptLimits.maxRetryAfter, after)}
+	return Decision{Action: ActionReject, Reason: reason, RetryAfter: min(lb.attemptLimits.maxRetryAfter, retryAfter)}
 }
 
-// repeats tells whether a repeat does no harm at any instance, for a deduplicated command within its
-// window.
-func (op *OpType) safeToRepeat() bool {
-	return op.idempotency == Idempotent || op.idempotency == IdempotentByKey && op.dedupScope == ScopeAll
-}
-
-// harmless: no effect twice.
-func (lb *Balancer) repeatAllowed(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
-	if request.opType.idempotency == Idempotent {
-		return true
-	}
-	for _, attempt := range request.attempts {
-		if !attempt.mayHaveExecuted {
-			continue
-		}
-		if request.opType.idempotency == NonIdempotent || now+lb.tick >= attempt.sentAt+request.opType.dedupWindow {
-			return false
-		}
-		if request.opType.dedupScope == ScopeZone && attempt.zone != endpoint.zone || request.opType.dedupScope == ScopeCell && attempt.cell != endpoint.cell {
-			return false
-		}
-	}
-	return true
-}
-
-// ToldFlowing tells that an answer has begun to stream: it belongs to the client from here on.
+// ResponseStarted takes in that an answer has begun to stream to the client: no other one may follow.
 func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
 	attempt.Endpoint.lastResponseAt = now
 	attempt.Request.completed = true
 }
 
-// ToldGone tells that the client has left.
+// ClientGone takes in that the client has left: the request needs no answer.
 func (lb *Balancer) ClientGone(request *Request) {
 	request.completed = true
 	lb.dequeue(request)
 }
 
-// Hasten brings the last moment for a command's answer forward: the gateway ends before its client gives up.
+// ShortenDeadline brings a request's deadline forward, as where the gateway shuts down before the client gives up.
 func (lb *Balancer) ShortenDeadline(request *Request, lastAnswer monotonic.Time) {
 	request.deadline = min(request.deadline, lastAnswer)
 	request.latencyDeadline = min(request.latencyDeadline, lastAnswer)
@@ -140,9 +119,9 @@
 // Completed reports whether the request has its final answer, or its client has left.
 func (request *Request) Completed() bool { return request.completed }
 
-// OpType is one type of command, with what its answers have taught.
+// OpType is one type of operation, with what the answers have taught of it.
 type OpType struct {
-	index            int
+	index            int // in the order of the configuration
 	latencyObjective time.Duration
 	objectiveStretch float64
 	clientTimeout    time.Duration
@@ -155,7 +134,12 @@
 	meanLatency float64 // ns; smoothed duration of answered attempts
 }
 
-// Model is one kind of machine, with what the earlier builds' answers have taught.
-type MachineType struct {
-	relativeLatency float64 // smoothed time of its answers against the op types' means
+// isLate reports whether an answer that took this long comes late.
+func (op *OpType) isLate(duration time.Duration) bool {
+	return float64(duration) > lateShare*float64(op.latencyObjective)
+}
+
+// observeLatency takes the duration of an attempt, in nanoseconds, into the mean.
+func (op *OpType) observeLatency(duration float64) {
+	op.meanLatency += meanLatencyGain * (duration - op.meanLatency)
 }
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -1,93 +1,93 @@
 package decision
 
 import (
+	"time"
+
 	"laurelring/decision/monotonic"
 )
 
-// candidates are the instances that may have this command; those in doubt only where no other may serve at
-// all, and now and then: a machine that fails fast is never full and would draw everything.
-func (lb *Balancer) candidates(request *Request, now monotonic.Time) (trial, others, doubtful []*Endpoint) {
-	full, pin := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
-	open, power := lb.stableInFlight()
+const (
+	// ejectedProbeInterval is how often a suspect endpoint gets an attempt where no other endpoint is left.
+	ejectedProbeInterval = 100 * time.Millisecond
+
+	retryPenalty      = 4    // times the load that an endpoint counts with for a request that it has failed already
+	crossZonePenalty  = 10   // how much the load in another zone counts more, for each unit of a crossing's cost
+	minComparableSize = 0.01 // an endpoint counts as no smaller
+)
+
+// candidates are the endpoints that may get an attempt of a request.
+type candidates struct {
+	canary  []*Endpoint // healthy endpoints with room that run a canary build
+	stable  []*Endpoint // and those of other builds
+	suspect []*Endpoint // for a rare probe, where no healthy endpoint may serve the request at all
+}
+
+// candidates returns the endpoints that may get an attempt of a request. Suspect ones are among them only while no healthy
+// one may serve it, full or not, and each only now and then: an endpoint that fails fast is never full and would get all.
+func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
+	var found candidates
+	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
+	stableInFlight, stablePower := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
-		on := lb.isCanary(endpoint.build)
-		if on && !pin || !lb.mayAttempt(request, endpoint, now) {
+		canary := lb.isCanary(endpoint.build)
+		if canary && !mayUseCanary || !lb.mayAttempt(request, endpoint, now) {
 			continue
 		}
-		room := float64(len(endpoint.inFlight)) < endpoint.concurrencyLimit && !(on && !lb.withinCanaryShare(endpoint, open, power, now))
-		sound := !lb.isSuspect(endpoint, now) && !((endpoint.consecutiveFailures > 0 || now < endpoint.outlierUntil) && request.opType.idempotency == NonIdempotent)
+		room := endpoint.limit.allows(len(endpoint.inFlight)) && !(canary && !lb.withinCanaryShare(endpoint, stableInFlight, stablePower, now))
+		healthy := !lb.isSuspect(endpoint, now) && !lb.onProbationFor(request, endpoint, now)
 		switch {
-		case sound && !room:
+		case healthy && !room:
 			full = true
-		case sound && on:
-			trial = append(trial, endpoint)
-		case sound:
-			others = append(others, endpoint)
-		case room && endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 && !(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now)):
-			doubtful = append(doubtful, endpoint)
+		case healthy && canary:
+			found.canary = append(found.canary, endpoint)
+		case healthy:
+			found.stable = append(found.stable, endpoint)
+		case room && lb.mayProbe(request, endpoint, now):
+			found.suspect = append(found.suspect, endpoint)
 		}
 	}
 	if full {
-		doubtful = nil
+		found.suspect = nil
 	}
-	return lb.preferHealthyZones(lb.preferResponsive(trial, now), now), lb.preferHealthyZones(lb.preferResponsive(others, now), now), doubtful
+	found.canary = lb.preferHealthyZones(lb.preferResponsive(found.canary, now), now)
+	found.stable = lb.preferHealthyZones(lb.preferResponsive(found.stable, now), now)
+	return found
 }
 
-// near leaves out the machines of other zones from which far more of our deliveries come late or never than
-// from our own. Guards against ways between zones that are slow, lossy or cut; where our zone is short of
-// machines, its own answers come late too, and the others are used again.
-func (lb *Balancer) preferHealthyZones(some []*Endpoint, now monotonic.Time) []*Endpoint {
-	worse := lb.zoneLateRate(lb.zone, now) + zoneLateMargin
-	return filterOrAll(some, func(endpoint *Endpoint) bool {
-		return endpoint.zone == lb.zone || lb.zoneLateRate(endpoint.zone, now) < worse
-	})
+// onProbationFor reports whether an endpoint that failed lately is not to get a request that must not execute twice.
+func (lb *Balancer) onProbationFor(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
+	return (endpoint.consecutiveFailures > 0 || now < endpoint.outlierUntil) && request.opType.idempotency == NonIdempotent
 }
 
-// known keeps to the machines that answered us lately where many deliveries find no connection: theirs may
-// still be open. Guards against machines that accept few connections and ways that are shut for us alone; a
-// gateway may crowd a few machines that way.
-func (lb *Balancer) preferResponsive(some []*Endpoint, now monotonic.Time) []*Endpoint {
-	if lb.connectFailureRate < connectFailureThreshold {
-		return some
-	}
-	return filterOrAll(some, func(endpoint *Endpoint) bool { return endpoint.lastResponseAt > now-responsiveTTL })
+// mayProbe reports whether a suspect endpoint may get a request.
+func (lb *Balancer) mayProbe(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
+	return endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 &&
+		!(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now))
 }
 
-// fewer draws two instances and takes the one with fewer of ours in flight for its size and speed.
-func (lb *Balancer) leastLoadedOfTwo(some []*Endpoint, request *Request) *Endpoint {
-	n := len(some)
+// leastLoadedOfTwo draws two endpoints at random and returns the one with the lower load.
+func (lb *Balancer) leastLoadedOfTwo(endpoints []*Endpoint, request *Request) *Endpoint {
+	n := len(endpoints)
 	first := lb.random.Below(n)
-	a, b := some[first], some[(first+1+lb.random.Below(max(n-1, 1)))%n]
+	second := (first + 1 + lb.random.Below(max(n-1, 1))) % n
+	a, b := endpoints[first], endpoints[second]
 	if lb.loadOf(b, request) < lb.loadOf(a, request) {
 		return b
 	}
 	return a
 }
 
-// burden is what decides between two instances: our own in flight there.
+// loadOf is the load by which two endpoints are compared for a request: this gateway's own attempts in flight there, by
+// the endpoint's size and speed.
 func (lb *Balancer) loadOf(endpoint *Endpoint, request *Request) float64 {
-	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, 0.01)
+	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, minComparableSize)
 	for _, attempt := range request.attempts {
 		if attempt.Endpoint == endpoint {
-			load *= 4 // it has failed this command already
+			load *= retryPenalty
 		}
 	}
 	if endpoint.zone != lb.zone {
-		load *= 1 + 10*lb.attemptLimits.crossZoneCost
+		load *= 1 + crossZonePenalty*lb.attemptLimits.crossZoneCost
 	}
 	return load
 }
-
-// keep gives those that are wanted, or all where none is.
-func filterOrAll(some []*Endpoint, wanted func(*Endpoint) bool) []*Endpoint {
-	var kept []*Endpoint
-	for _, endpoint := range some {
-		if wanted(endpoint) {
-			kept = append(kept, endpoint)
-		}
-	}
-	if len(kept) == 0 {
-		return some
-	}
-	return kept
-}
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -8,100 +8,147 @@
 )
 
 const (
-	utilizationTTL       = 2 * time.Second // a machine's figure is stale after this
-	usualThroughputGain  = 0.15            // of each new figure of what a warm machine answers us
-	slowStartShare       = 0.65            // of the multiple that pushes a cold instance over; the rest is left for chance
-	maxSlowStartCapacity = 1.1             // of what a cold instance can do: more would only queue there
-	maxShortage          = 1.5             // times as much for cold and trial machines while others are gone or cold: all share it
+	utilizationTTL       = 2 * time.Second // an older report of an endpoint's utilization does not count
+	usualThroughputGain  = 0.15            // of each new figure in the usual throughput
+	slowStartShare       = 0.65            // of the multiple that overloads a warming endpoint; the rest is left for random bursts
+	maxSlowStartCapacity = 1.1             // times what a warming endpoint can serve: more would only queue there
+	maxShortage          = 1.5             // times the usual for warming and canary endpoints while others are missing
+	minBudgetRate        = 1e-9            // requests a second; keeps the gap between attempts finite
+	minFleetCapacity     = 0.01
 )
 
-// coldRoom bounds what a fresh instance gets, as a budget over the stated span. The gateways do not hear of
-// each other's deliveries; if each keeps to a fraction of what an instance of that size would get of its
-// own commands, the sum keeps to that fraction as well.
+// slowStartState bounds the attempts at endpoints that have started lately.
+type slowStartState struct {
+	initialCapacity  float64       // share of its capacity that an endpoint has at its start
+	warmUp           time.Duration // until it has all of it
+	overloadMultiple float64       // of its present capacity: with more requests it is overloaded
+	overloadSpan     time.Duration // over which those are counted
+
+	arrivals        slidingwindow.Window // this gateway's requests
+	shortage        float64              // from 1 on: how much more than usual falls to each endpoint, as others are missing or warming up
+	usualThroughput float64              // this gateway's answers from a warm endpoint within overloadSpan, per unit of power
+}
+
+func newSlowStartState(config SlowStartConfig) slowStartState {
+	return slowStartState{
+		initialCapacity:  config.InitialCapacity,
+		warmUp:           config.WarmUp,
+		overloadMultiple: config.OverloadMultiple,
+		overloadSpan:     config.OverloadSpan,
+		shortage:         1,
+	}
+}
+
+// warmUpCapacity is the share of its capacity that an endpoint of an age has at least.
+func (s *slowStartState) warmUpCapacity(age time.Duration) float64 {
+	return s.initialCapacity + (1-s.initialCapacity)*max(0, min(1, float64(age)/float64(max(s.warmUp, 1))))
+}
+
+// warmingUp reports whether attempts at an endpoint are bounded: from its start until all requests of a span of overload
+// came after it was warm.
+func (s *slowStartState) warmingUp(endpoint *Endpoint, now monotonic.Time) bool {
+	return endpoint.startedAt > 0 && now-endpoint.startedAt <= s.warmUp+s.overloadSpan
+}
+
+// recordArrival counts a request.
+func (s *slowStartState) recordArrival(now monotonic.Time) {
+	s.arrivals.Add(now, max(s.overloadSpan, canaryShareSpan))
+}
+
+// withinSlowStart reports whether an endpoint may get one more attempt within the budget that its age allows. Gateways do
+// not know each other's attempts: if each keeps to a fraction of what an endpoint of that size would get of its own
+// requests, the sum keeps to that fraction as well.
 func (lb *Balancer) withinSlowStart(endpoint *Endpoint, now monotonic.Time) bool {
 	slowStart := &lb.slowStart
-	age := now - endpoint.startedAt
-	if endpoint.startedAt <= 0 || age > slowStart.warmUp+slowStart.overloadSpan {
+	if !slowStart.warmingUp(endpoint, now) {
 		return true
 	}
 	share := lb.requestShare(endpoint, slowStart.overloadSpan, now)
 	if slowStart.usualThroughput > 0 {
 		share = min(share, slowStart.usualThroughput*lb.power(endpoint))
 	}
-	quota := min(slowStart.overloadMultiple*slowStartShare, maxSlowStartCapacity*slowStart.shortage) * lb.warmUpCapacity(age-slowStart.overloadSpan/2) * share
-	return lb.withinBudget(quota, endpoint, slowStart.overloadSpan, now)
+	age := now - endpoint.startedAt
+	budget := min(slowStart.overloadMultiple*slowStartShare, maxSlowStartCapacity*slowStart.shortage) *
+		slowStart.warmUpCapacity(age-slowStart.overloadSpan/2) * share
+	return lb.withinBudget(budget, endpoint, slowStart.overloadSpan, now)
 }
 
-// within tells whether a machine's budget for a span allows another delivery. One below a single delivery
-// spaces them out over more than the span, from a first moment by lot, so that the budgets of many gateways
-// that see little each add up to what they should. Guards against hundreds of gateways that each think one
-// delivery little. The rate of our commands is smoothed, as in a chance burst the share would look larger.
+// withinBudget reports whether an endpoint's budget of attempts for a span allows one more. A budget below one attempt
+// spaces them out over more than the span, from a random first moment, so that the budgets of many gateways that see little
+// each add up to what they should. It guards against hundreds of gateways that each think one attempt little. The rate of
+// requests is smoothed, as a random burst would make the share look larger.
 func (lb *Balancer) withinBudget(budget float64, endpoint *Endpoint, span time.Duration, now monotonic.Time) bool {
 	if budget >= 1 {
 		return float64(endpoint.recentAttempts.CountAfter(now-span-lb.tick)+1) <= budget
 	}
-	gap := float64(max(1, lb.slowStart.arrivals.CountAfter(now-span))) / max(budget*lb.requestRate(now), 1e-9) * float64(time.Second)
+	gap := float64(max(1, lb.slowStart.arrivals.CountAfter(now-span))) / max(budget*lb.requestRate(now), minBudgetRate) * float64(time.Second)
 	if endpoint.lastAttemptAt == 0 {
 		return float64(now-endpoint.learnedAt) >= gap*float64(lb.random.HashOf(endpoint.drawKey)>>40)/(1<<24)
 	}
 	return float64(now-endpoint.lastAttemptAt) >= gap
 }
 
-// recall learns what warm machines usually answer us for their power within the cold span. Answers are
-// bounded by what machines can do; what is asked or sent is not, where clients retry or machines fail fast.
-// While most of the fleet is cold or gone, what it did before stands. It also keeps what the judging holds
-// the fleet against.
+// requestShare is how many of this gateway's requests of the last span fall to an endpoint by its power.
+func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
+	power := lb.power(endpoint)
+	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * power / max(lb.endpointList.maxPower, power)
+}
+
+// learnFleetBaseline learns what the fleet usually does, for slow start and for the verdict on a canary build.
 func (lb *Balancer) learnFleetBaseline(now monotonic.Time) {
-	power, acked, there := 0.0, 0.0, 0.0
-	young, grown := 0, 0 // machines of earlier builds
+	lb.learnUsualThroughput(now)
+	lb.recordBusyTime(now)
+	lb.learnFleetCost(lb.mostlyWarm(now), now)
+}
+
+// learnUsualThroughput learns what warm endpoints usually answer this gateway for their power. Answers are bounded by what
+// endpoints can serve; requests and attempts are not, where clients retry or endpoints fail fast. While most of the fleet
+// is warming up or missing, the earlier figure stands.
+func (lb *Balancer) learnUsualThroughput(now monotonic.Time) {
+	slowStart := &lb.slowStart
+	warmPower, answers, capacity := 0.0, 0.0, 0.0
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready {
 			continue
 		}
-		there += lb.warmUpCapacity(now-endpoint.startedAt) * lb.power(endpoint)
-		// One that nobody reaches says the same for ever; one just warm shows the work of the whole interval.
-		if lb.isWarm(endpoint, now-evidenceInterval) && now-endpoint.utilizationAt < utilizationTTL {
-			endpoint.evidence.busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
-		}
-		fresh := endpoint.startedAt > 0 && now-endpoint.startedAt <= lb.slowStart.warmUp+lb.slowStart.overloadSpan
-		if !fresh {
-			power += lb.power(endpoint)
-			acked += float64(endpoint.recentSuccesses.CountAfter(now - lb.slowStart.overloadSpan))
-		}
-		if endpoint.build < lb.rollout.build && fresh {
-			young++
-		} else if endpoint.build < lb.rollout.build {
-			grown++
+		capacity += slowStart.warmUpCapacity(now-endpoint.startedAt) * lb.power(endpoint)
+		if !slowStart.warmingUp(endpoint, now) {
+			warmPower += lb.power(endpoint)
+			answers += float64(endpoint.recentSuccesses.CountAfter(now - slowStart.overloadSpan))
 		}
 	}
-	if power > lb.endpointList.maxPower/2 {
-		if lb.slowStart.usualThroughput == 0 {
-			lb.slowStart.usualThroughput = acked / power
+	if warmPower > lb.endpointList.maxPower/2 {
+		if slowStart.usualThroughput == 0 {
+			slowStart.usualThroughput = answers / warmPower
 		}
-		lb.slowStart.usualThroughput += usualThroughputGain * (acked/power - lb.slowStart.usualThroughput)
+		slowStart.usualThroughput += usualThroughputGain * (answers/warmPower - slowStart.usualThroughput)
 	}
-	lb.slowStart.shortage = max(1, min(maxShortage, lb.endpointList.maxPower/max(there, 0.01)))
-	lb.learnFleetCost(young <= grown, now)
+	slowStart.shortage = max(1, min(maxShortage, lb.endpointList.maxPower/max(capacity, minFleetCapacity)))
 }
 
-// share is the number of this gateway's commands of the last span that fall to an instance by its power.
-func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
-	power := lb.power(endpoint)
-	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * power / max(lb.endpointList.maxPower, power)
-}
-
-// able is the share of its capacity that an instance of this age has at least.
-func (lb *Balancer) warmUpCapacity(age time.Duration) float64 {
-	return lb.slowStart.initialCapacity + (1-lb.slowStart.initialCapacity)*max(0, min(1, float64(age)/float64(max(lb.slowStart.warmUp, 1))))
+// recordBusyTime adds each endpoint's busy time since the last call, by its own report, to its evidence. An endpoint that
+// nobody reaches reports the same for ever, and one that has just become warm the work of the whole interval: neither
+// counts.
+func (lb *Balancer) recordBusyTime(now monotonic.Time) {
+	for _, endpoint := range lb.endpoints {
+		if lb.isWarm(endpoint, now-evidenceInterval) && now-endpoint.utilizationAt < utilizationTTL {
+			endpoint.evidence.busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
+		}
+	}
 }
 
-// cold bounds deliveries to an instance that has just started.
-type slowStartState struct {
-	initialCapacity  float64
-	warmUp           time.Duration
-	overloadMultiple float64
-	overloadSpan     time.Duration
-	arrivals         slidingwindow.Window
-	shortage         float64 // times its usual share that a machine gets as far as it can, as others are gone or cold
-	usualThroughput  float64 // what a warm machine answers us for its power within the span
+// mostlyWarm reports whether most ready endpoints of builds before the one under judgement have finished their slow start.
+func (lb *Balancer) mostlyWarm(now monotonic.Time) bool {
+	warming, warm := 0, 0
+	for _, endpoint := range lb.endpoints {
+		if !endpoint.ready || endpoint.build >= lb.rollout.build {
+			continue
+		}
+		if lb.slowStart.warmingUp(endpoint, now) {
+			warming++
+		} else {
+			warm++
+		}
+	}
+	return warming <= warm
 }
