--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -1,257 +1,210 @@
 package decision
 
 import (
-	"slices"
 	"time"
 
 	"laurelring/decision/monotonic"
-	"laurelring/decision/sequentialtest"
+	"laurelring/decision/rollout"
 )
 
 const (
-	evidenceWarmUp           = 3 * time.Second // outcomes of an instance this young are no evidence
-	singleEndpointCostMargin = 0.4             // more margin, shared by the trial machines: one alone may be a slow machine
-	baselineCostGain         = 0.3             // of each new figure of that
-	minFailureMargin         = 0.02            // of its tries: what a trial may fail beyond the earlier build's rate,
-	harmFailureMargin        = 0.25            // or this share of what being behind costs over what harm does, if that is less
-	minBaselineOneIn         = 5               // one machine in so many of an earlier build is enough to compare times with
-	costMargin               = 1.2             // times what a command costs the earlier build, or cost the fleet: a good build may
-	countersPerOpType        = 3               // counters in a cell: tries, failures, half deliveries ended at warm machines
+	// evidenceWarmUp is the age below which an endpoint's attempts are no evidence.
+	evidenceWarmUp = 3 * time.Second
+	// outlierMinEndpoints is how many others an endpoint is compared with before it can be an outlier to this gateway.
+	outlierMinEndpoints = 2
+	// minBaselineOneIn: one endpoint in this many of an earlier build is enough to compare costs with.
+	minBaselineOneIn = 5
+	// finishedWithAnswer and finishedWithoutAnswer are what an attempt adds to Counters.FinishedHalves.
+	finishedWithAnswer    = 2
+	finishedWithoutAnswer = 1
 )
 
-// witness counts an outcome as evidence for or against its build.
-func (lb *Balancer) recordEvidence(attempt *Attempt, outcome Outcome, took time.Duration, now monotonic.Time) {
-	if lb.rollout.ownCounters == nil || attempt.sentAt < lb.rollout.buildSeenAt || attempt.build != attempt.Endpoint.build ||
-		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
-		return
-	}
-	c := &attempt.Endpoint.evidence.byOpType[attempt.Request.opType.index]
-	// At its end, by its machine's age then, as the work counts: what still queues has cost none yet.
-	if lb.isWarm(attempt.Endpoint, now) && (outcome == OutcomeSuccess || outcome == OutcomeError) {
-		c[2] += 2
-	} else if lb.isWarm(attempt.Endpoint, now) && outcome != OutcomeConnectionLost {
-		c[2]++ // half, as in the fleet's work: what came late or never may not have been begun
-	}
-	// Time-outs and deliveries that were called off tell of time, not of failure: how many there are hangs on
-	// our own patience, and on load.
-	if attempt.duringWarmUp || outcome == OutcomeTimeout || outcome == OutcomeCanceled {
-		return
-	}
-	c[0]++
-	if outcome == OutcomeError {
-		c[1]++
-	}
-	// The deliveries that one crash breaks are one failure, not many, and one among all gateways: by lot.
-	if outcome == OutcomeConnectionLost && attempt.sentAt > attempt.Endpoint.evidence.connectionsLostAt {
-		attempt.Endpoint.evidence.connectionsLostAt = attempt.sentAt + took
-		if lb.draw(lb.gateways) == 0 {
-			c[1]++
-		}
-	}
+// endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
+type endpointEvidence struct {
+	byOpType          []rollout.Counters
+	busyTime          float64        // by the endpoint's own utilization, weighed by its power
+	connectionsLostAt monotonic.Time // when it last broke connections
 }
 
-// settled tells a machine that is warm: its work and the deliveries it ends are held against each other.
-func (lb *Balancer) isWarm(endpoint *Endpoint, now monotonic.Time) bool {
-	return endpoint.ready && now-endpoint.startedAt > max(evidenceWarmUp, lb.slowStart.warmUp)
+// evidenceState is what is counted for and against the build under judgement.
+type evidenceState struct {
+	own          rollout.Table // this gateway's running totals; nil while no build is under judgement
+	departed     rollout.Table // of them, those of endpoints that have left
+	restarted    rollout.Table // the last totals of peers' earlier incarnations
+	stageStart   rollout.Table // all gateways' totals when the stage or the release was first looked at; nil until then
+	busyTime     rollout.BusyTime
+	previousBusy rollout.BusyTime // the same at the previous report: peers' attempts are known that much later
+	departedBusy rollout.BusyTime // of it, that of endpoints that have left
 }
 
-// fold sums the evidence over machines. One that the voters name ill, or that fails us far more, speaks of
-// itself, not of the build: its failures are left out (guards against a crash, hang or fast errors of
-// single trial machines; it may delay the case against a build that ruins some machines before others). Not
-// so work and the deliveries that cost it: gateways see these at different times and would hardly leave out
-// the same.
-func (lb *Balancer) sumEvidence(now monotonic.Time) {
-	rollout := &lb.rollout
-	if lb.rankEndpoints(); rollout.ownCounters == nil {
-		return
-	}
-	copy(rollout.ownCounters, rollout.departedCounters)
-	rollout.previousBusyTime, rollout.busyTime = rollout.busyTime, rollout.departedBusyTime // peers tell of their deliveries half a second late, on average less
-	for _, endpoint := range lb.endpoints {
-		failing, _, n := lb.medianOfOthers(endpoint)
-		lb.addEndpointEvidence(endpoint, rollout.ownCounters, &rollout.busyTime, now < endpoint.outlierUntil || n >= 2 && endpoint.errorRate > ejectionErrorRate+failing)
+// newEvidenceState starts with nothing counted.
+func newEvidenceState(opTypes int) evidenceState {
+	return evidenceState{
+		own:       rollout.NewTable(opTypes),
+		departed:  rollout.NewTable(opTypes),
+		restarted: rollout.NewTable(opTypes),
 	}
 }
 
-// evidence pools the totals of all gateways on the build and averages the products: an average of such
-// products keeps the level alpha, so a look at each op type and at work is paid for. Beside it, work alone.
-func (lb *Balancer) evidence() (all, work float64) {
-	rollout := &lb.rollout
-	sum := lb.pooledCounters()
-	if rollout.stageBaseline == nil {
-		rollout.stageBaseline = slices.Clone(sum)
+// recordEvidence counts an attempt's outcome for or against the build of its endpoint.
+func (lb *Balancer) recordEvidence(attempt *Attempt, outcome Outcome, took time.Duration, now monotonic.Time) {
+	state, endpoint := &lb.rollout, attempt.Endpoint
+	if !state.judging() || attempt.sentAt < state.buildSeenAt || attempt.build != endpoint.build ||
+		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
+		return
 	}
-	margin := min(minFailureMargin, harmFailureMargin*rollout.lagCost/max(rollout.harmCost, 1e-9))
-	var canaryTotal, baselineTotal sequentialtest.Counts
-	var tw, bw float64
-	var logs []float64
-	for _, op := range lb.opTypes {
-		t, b := sum[lb.counterIndex(true, op):], sum[lb.counterIndex(false, op):]
-		canary := sequentialtest.Counts{Attempts: float64(t[0]), Failures: float64(t[1])}
-		baseline := sequentialtest.Counts{Attempts: float64(b[0]), Failures: float64(b[1])}
-		canaryTotal.Attempts, canaryTotal.Failures = canaryTotal.Attempts+canary.Attempts, canaryTotal.Failures+canary.Failures
-		baselineTotal.Attempts, baselineTotal.Failures = baselineTotal.Attempts+baseline.Attempts, baselineTotal.Failures+baseline.Failures
-		if rollout.costBaseline != nil {
-			tw += max(0, float64(t[2])-float64(rollout.costBaseline[lb.counterIndex(true, op)+2])) / 2
-			bw += max(0, float64(b[2])-float64(rollout.costBaseline[lb.counterIndex(false, op)+2])) / 2
-		}
-		// Beside all of the trial's tries those since its stage or its release: guards against builds that begin
-		// to fail once their machines have run for a while, which many clean tries would hide.
-		was := rollout.stageBaseline[lb.counterIndex(true, op):]
-		recent := sequentialtest.Counts{Attempts: max(0, float64(t[0])-float64(was[0])), Failures: float64(t[1]) - float64(was[1])}
-		logs = append(logs, sequentialtest.LogFailureFactor(canary, baseline, margin), sequentialtest.LogFailureFactor(recent, baseline, margin))
+	counters := &endpoint.evidence.byOpType[attempt.Request.opType.index]
+	// An attempt counts at its end, by its endpoint's age then, as busy time does: what is still queued there has cost nothing.
+	if lb.isWarm(endpoint, now) {
+		counters.FinishedHalves += finishedHalves(outcome)
 	}
-	// Slowness by work, counted in commands of the earlier build, where machines tell how busy they are: it
-	// tells a slow build from queues, which load, cold keys and bursts make as well. It says nothing once few
-	// earlier machines are left, as the trial's work is then of another period, or while totals are missing; after
-	// that, and at a gateway that started amid a trial, both count from when the work is seen. The fleet's work
-	// is held against that before, as with equal exposure, unless the trial's commands cost less than others.
-	slower, fleet, w := 0.0, 0.0, rollout.previousBusyTime
-	if lb.baselineRemains() && !rollout.underReported && rollout.costComparable && w[0] > 0 && w[1] > 0 && tw > 0 && bw > 0 {
-		may := tw * costMargin * (1 + singleEndpointCostMargin/float64(max(1, lb.canaryEndpoints())))
-		slower = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: may, Failures: w[0] * bw / w[1]}, sequentialtest.Counts{Attempts: bw, Failures: bw})
+	// Timeouts and cancelled attempts tell of latency, not of failure: their number depends on this gateway's patience, and on
+	// load.
+	if attempt.duringWarmUp || outcome == OutcomeTimeout || outcome == OutcomeCanceled {
+		return
 	}
-	if w[0] == 0 || w[0]*bw*costMargin >= w[1]*tw {
-		fleet = sequentialtest.LogPairFactor(sequentialtest.Counts{Attempts: rollout.fleetCost[0] * costMargin, Failures: rollout.fleetCost[1]},
-			sequentialtest.Counts{Attempts: rollout.fleetCost[0], Failures: rollout.fleetCost[0]})
+	counters.Attempts++
+	if outcome == OutcomeError || outcome == OutcomeConnectionLost && lb.countsAsCrash(attempt, took) {
+		counters.Failures++
 	}
-	logs = append(logs, sequentialtest.LogFailureFactor(canaryTotal, baselineTotal, margin))
-	return sequentialtest.LogMean(append(logs, slower, fleet)), sequentialtest.LogMean(append(make([]float64, len(logs)), slower, fleet))
 }
 
-// trialMachines counts the ready machines of the build under judgement.
-func (lb *Balancer) canaryEndpoints() int {
-	n := 0
-	for _, endpoint := range lb.endpoints {
-		if endpoint.ready && endpoint.build >= lb.rollout.build {
-			n++
-		}
+// finishedHalves returns how many half attempts an outcome at a warm endpoint stands for.
+func finishedHalves(outcome Outcome) uint32 {
+	switch outcome {
+	case OutcomeSuccess, OutcomeError:
+		return finishedWithAnswer
+	case OutcomeConnectionLost:
+		return 0
+	default:
+		return finishedWithoutAnswer // it may not have been executed
 	}
-	return n
 }
 
-// pooled sums the totals of all gateways on the build.
-func (lb *Balancer) pooledCounters() []uint32 {
-	sum := slices.Clone(lb.rollout.ownCounters)
-	addCounters(sum, lb.rollout.restartedCounters)
-	for _, report := range lb.rollout.reports {
-		if report != nil && report.Build == lb.rollout.build {
-			addCounters(sum, report.Counters)
-		}
+// countsAsCrash tells whether a lost connection is a failure of its own. The attempts that one crash breaks are one failure,
+// and, as every gateway sees the crash, one among all gateways: a random draw decides.
+func (lb *Balancer) countsAsCrash(attempt *Attempt, took time.Duration) bool {
+	evidence := &attempt.Endpoint.evidence
+	if attempt.sentAt <= evidence.connectionsLostAt {
+		return false
 	}
-	return sum
+	evidence.connectionsLostAt = attempt.sentAt + took
+	return lb.draw(lb.gateways) == 0
 }
 
-func (lb *Balancer) counterCount() int { return 2 * len(lb.opTypes) * countersPerOpType }
-
-func (lb *Balancer) counterIndex(trial bool, op *OpType) int {
-	return (lb.side(trial)*len(lb.opTypes) + op.index) * countersPerOpType
+// WrongAnswerReported counts an endpoint's answer that its client found wrong as a failure of the endpoint's build.
+func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt, now monotonic.Time) {
+	if sentAt >= lb.rollout.buildSeenAt {
+		endpoint.evidence.byOpType[op.index].Failures++
+	}
 }
 
-func (lb *Balancer) side(trial bool) int {
-	if trial {
-		return 0
-	}
-	return 1
+// isWarm tells whether an endpoint is old enough for its busy time and finished attempts to be compared.
+func (lb *Balancer) isWarm(endpoint *Endpoint, now monotonic.Time) bool {
+	return endpoint.ready && now-endpoint.startedAt > max(evidenceWarmUp, lb.slowStart.warmUp)
 }
 
-// ToldWrong tells that a client judged an answer of an instance wrong.
-func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt, now monotonic.Time) {
-	if sentAt >= lb.rollout.buildSeenAt {
-		endpoint.evidence.byOpType[op.index][1]++
+// sideOf returns the side that an endpoint's evidence belongs to.
+func (lb *Balancer) sideOf(endpoint *Endpoint) rollout.Side {
+	if endpoint.build >= lb.rollout.build {
+		return rollout.Canary
 	}
+	return rollout.Baseline
 }
 
-// regard begins to judge a build when it is first heard of.
-func (lb *Balancer) beginCanary(build int, now monotonic.Time) {
-	rollout := &lb.rollout
-	if lb.canary.build < 0 || build <= rollout.build || !lb.isCanary(build) {
-		return // the build of the start is not on trial
+// sumEvidence sums the evidence of all endpoints. The attempts and failures of an outlier, named by the voters or found by
+// this gateway, speak of the endpoint and not of its build: they are left out, which guards against a crash, hang or fast
+// errors of single canary endpoints and may delay the case against a build that ruins some endpoints before others. Busy
+// time and finished attempts stay: gateways see these at different times and would hardly leave out the same.
+func (lb *Balancer) sumEvidence(now monotonic.Time) {
+	lb.rankEndpoints()
+	if !lb.rollout.judging() {
+		return
 	}
+	evidence := &lb.rollout.evidence
+	copy(evidence.own, evidence.departed)
+	evidence.previousBusy, evidence.busyTime = evidence.busyTime, evidence.departedBusy
 	for _, endpoint := range lb.endpoints {
-		lb.retireEvidence(endpoint)
-	}
-	rollout.build, rollout.buildSeenAt, rollout.rollbackCase, lb.canary.stickyRequests = build, now, false, 0
-	rollout.previousBusyTime, rollout.busyTime, rollout.costBaseline = [2]float64{}, [2]float64{}, nil
-	if rollout.joinedMidCanary, rollout.costBaselineAt = !rollout.statusReceived, 0; rollout.statusReceived { // we ran before the build was heard of
-		rollout.costBaseline = make([]uint32, lb.counterCount())
+		errorRateOfOthers, _, others := lb.medianOfOthers(endpoint)
+		outlier := now < endpoint.outlierUntil ||
+			others >= outlierMinEndpoints && endpoint.errorRate > ejectionErrorRate+errorRateOfOthers
+		lb.addEndpointEvidence(endpoint, evidence.own, &evidence.busyTime, outlier)
 	}
-	rollout.departedBusyTime, rollout.departedCounters, rollout.fleetCost = [2]float64{}, make([]uint32, lb.counterCount()), [2]float64{}
-	rollout.restartedCounters = make([]uint32, lb.counterCount())
-	rollout.ownCounters = make([]uint32, lb.counterCount())
-	rollout.lastVote, rollout.nextVoteAt, rollout.stageBaseline = Vote{}, 0, nil
 }
 
-func addCounters(sum, more []uint32) {
-	for i, n := range more {
-		sum[i] += n
+// addEndpointEvidence adds what was counted at an endpoint; of an outlier only what tells of cost.
+func (lb *Balancer) addEndpointEvidence(endpoint *Endpoint, table rollout.Table, busyTime *rollout.BusyTime, outlier bool) {
+	side := lb.sideOf(endpoint)
+	busyTime.Add(side, endpoint.evidence.busyTime)
+	for i, counters := range endpoint.evidence.byOpType {
+		if outlier {
+			counters = rollout.Counters{FinishedHalves: counters.FinishedHalves}
+		}
+		table.At(side, i).Add(counters)
 	}
 }
 
-// anew tells whether running totals fell: their sender has started anew. Tries and failures may fall as well, as a
-// machine is found to speak of itself; the deliveries ended at warm machines never do.
-func (lb *Balancer) senderRestarted(cells, had []uint32) bool {
-	for i := 2; i < len(cells); i += countersPerOpType {
-		if cells[i] < had[i] {
-			return true
-		}
+// retireEvidence keeps what was counted at an endpoint that leaves or changes its build, and clears the endpoint's counters.
+func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
+	if evidence := &lb.rollout.evidence; endpoint.evidence.byOpType != nil && lb.rollout.judging() {
+		lb.addEndpointEvidence(endpoint, evidence.departed, &evidence.departedBusy, false)
 	}
-	return false
+	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([]rollout.Counters, len(lb.opTypes)), 0
 }
 
-// seeWork begins to hold work against tries anew: those so far stand beside work that was not seen.
-func (lb *Balancer) restartCostBaseline(now monotonic.Time) {
-	rollout := &lb.rollout
-	rollout.costBaseline, rollout.joinedMidCanary, rollout.costBaselineAt = lb.pooledCounters(), true, now
-	rollout.previousBusyTime, rollout.busyTime, rollout.departedBusyTime = [2]float64{}, [2]float64{}, [2]float64{}
-	for _, endpoint := range lb.endpoints {
-		endpoint.evidence.busyTime = 0
+// pooledCounters sums the totals of all gateways on the build under judgement.
+func (lb *Balancer) pooledCounters() rollout.Table {
+	sum := lb.rollout.evidence.own.Clone()
+	sum.Add(lb.rollout.evidence.restarted)
+	for _, report := range lb.rollout.peers.reports {
+		if report != nil && report.build == lb.rollout.build {
+			sum.Add(report.counters)
+		}
 	}
+	return sum
 }
 
-// credit adds what a machine has shown to its build's evidence, or its work and the deliveries that cost it
-// alone.
-func (lb *Balancer) addEndpointEvidence(endpoint *Endpoint, cells []uint32, work *[2]float64, workOnly bool) {
-	trial := endpoint.build >= lb.rollout.build
-	work[lb.side(trial)] += endpoint.evidence.busyTime
-	for i, op := range lb.opTypes {
-		for k, n := range endpoint.evidence.byOpType[i] {
-			if k >= 2 || !workOnly {
-				cells[lb.counterIndex(trial, op)+k] += n
-			}
-		}
+// evidence weighs all that speaks against the build under judgement.
+func (lb *Balancer) evidence() rollout.Evidence {
+	state := &lb.rollout
+	pooled := lb.pooledCounters()
+	if state.evidence.stageStart == nil {
+		state.evidence.stageStart = pooled.Clone()
+	}
+	current := rollout.Case{
+		Pooled:          pooled,
+		StageStart:      state.evidence.stageStart,
+		CostStart:       state.cost.start,
+		FailureMargin:   rollout.FailureMargin(state.settings.lagCost, state.settings.harmCost),
+		BusyTime:        state.evidence.previousBusy,
+		CostComparable:  state.cost.comparable && !state.peers.underReported && lb.baselineRemains(),
+		CanaryEndpoints: lb.canaryEndpoints(),
+		FleetCost:       state.cost.fleet,
 	}
+	return current.Evidence()
 }
 
-// retire keeps what a machine that leaves has shown, and starts it anew.
-func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
-	if endpoint.evidence.byOpType != nil && lb.rollout.ownCounters != nil {
-		lb.addEndpointEvidence(endpoint, lb.rollout.departedCounters, &lb.rollout.departedBusyTime, false)
+// canaryEndpoints counts the ready endpoints of the build under judgement.
+func (lb *Balancer) canaryEndpoints() int {
+	n := 0
+	for _, endpoint := range lb.endpoints {
+		if endpoint.ready && lb.sideOf(endpoint) == rollout.Canary {
+			n++
+		}
 	}
-	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([][countersPerOpType]uint32, len(lb.opTypes)), 0
+	return n
 }
 
-// baseLeft tells whether enough of the ready machines run an earlier build.
+// baselineRemains tells whether enough of the ready endpoints run an earlier build.
 func (lb *Balancer) baselineRemains() bool {
-	left, all := 0, 0
+	baseline, all := 0, 0
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready {
 			all++
-			left += lb.side(endpoint.build >= lb.rollout.build)
+			if lb.sideOf(endpoint) == rollout.Baseline {
+				baseline++
+			}
 		}
 	}
-	return left*minBaselineOneIn >= all
-}
-
-// endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
-type endpointEvidence struct {
-	byOpType          [][countersPerOpType]uint32
-	busyTime          float64        // by the endpoint's own utilization, weighed by its power
-	connectionsLostAt monotonic.Time // when it last broke connections
-}
-
-// unreportedResults is what this gateway has seen of an endpoint since its last evidence report.
-type unreportedResults struct {
-	successes, losses int
-	utilization       bool // the endpoint has reported its utilization
+	return baseline*minBaselineOneIn >= all
 }
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -10,204 +10,181 @@
 )
 
 const (
-	promoteWait        = 3 * time.Second         // 'on' comes this long after the stage's latest listed start
-	blindPromoteWait   = 6 * time.Second         // a blind one votes 'on' this late
-	blindMinLagShare   = 0.05                    // and only if being behind costs this share of what harm does
-	rollbackCaseHold   = 1000 * time.Millisecond // a case must stand so long once few earlier machines are left
-	timerHoldLevel     = 4.0                     // under a clock a back vote is kept while the product stays above this
-	stageListedTimeout = 12 * time.Second        // by then a stage is judged by the machines that the list shows
+	// promoteWait is how long after the latest listed start of the stage's endpoints a promotion is voted.
+	promoteWait = 3 * time.Second
+	// blindPromoteWait is the same for a gateway that hears too few others.
+	blindPromoteWait = 6 * time.Second
+	// blindMinLagShare is the share of the harm cost that the lag cost must be for such a gateway to vote a promotion.
+	blindMinLagShare = 0.05
+	// minReportingOneIn: one gateway in this many must be heard, or a voter is blind.
+	minReportingOneIn = 3
+	// stageListedTimeout is the age at which a stage is judged by the endpoints listed, though fewer than its share.
+	stageListedTimeout = 12 * time.Second
+	// stageShareTolerance keeps rounding errors in a stage's share from asking for one endpoint more.
+	stageShareTolerance = 0.01
+	// rollbackCaseHold is how long a case by failures must stand once few baseline endpoints remain.
+	rollbackCaseHold = time.Second
+	// timerHoldLevel: where a timer promotes, a rollback is voted as long as the evidence stays above this.
+	timerHoldLevel = 4.0
+
+	// lostAnswerGrace is how long after its timeout an unanswered vote blocks the next.
+	lostAnswerGrace = time.Second
+	// notSentRetryDelay is the delay before a vote that was not sent is cast again: soon, but not at once, as all gateways
+	// share the rollout controller.
+	notSentRetryDelay = 500 * time.Millisecond
+	// uncertainRetryDelay and uncertainRetryJitter space out the repetition of a vote that may or may not have counted.
+	uncertainRetryDelay  = 300 * time.Millisecond
+	uncertainRetryJitter = 400 * time.Millisecond
 )
 
-// ToldVote tells the answer to a vote. One that was not counted is cast again, soon but not at once: the
-// platform's calls are shared by all gateways. One that may have counted is repeated too.
-func (lb *Balancer) VoteAnswered(outcome Outcome, now monotonic.Time) {
-	rollout := &lb.rollout
-	rollout.voteInFlight = false
-	switch outcome {
-	case OutcomeSuccess:
-		rollout.nextVoteAt = rollout.votedAt + rollout.voteTTL/2
-	case OutcomeNotSent:
-		rollout.lastVote = Vote{}
-		rollout.nextVoteAt = now + 500*time.Millisecond
-	default:
-		rollout.nextVoteAt = now + 300*time.Millisecond + time.Duration(lb.draw(400))*time.Millisecond
-	}
+// stageState is what is known of the present stage.
+type stageState struct {
+	startedAt      monotonic.Time // when this gateway first heard of it, less its age then
+	listed         bool           // all of its endpoints are or were listed
+	promoteCheckAt monotonic.Time // when the wait before a promotion is over; noCheck where none is awaited
 }
 
-// opinion is this gateway's vote now: a voter's own finding, or what the voters told.
+// noCheck is a moment that never comes.
+const noCheck = monotonic.Time(math.MaxInt64)
+
+// rollbackCase is whether the evidence has rejected the build.
+type rollbackCase struct {
+	stands  bool
+	clearAt monotonic.Time // when the evidence was last below the threshold
+}
+
+// voteState is this gateway's last vote.
+type voteState struct {
+	last     Vote
+	castAt   monotonic.Time
+	inFlight bool // not yet answered
+	nextAt   monotonic.Time
+}
+
+// currentVerdict returns what this gateway votes: a voter by its own evidence, another by the voters' reports.
 func (lb *Balancer) currentVerdict(now monotonic.Time) Verdict {
-	rollout, canary := &lb.rollout, &lb.canary
-	if rollout.ownCounters == nil || canary.build != rollout.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
+	state, canary := &lb.rollout, &lb.canary
+	if !state.judging() || canary.build != state.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
 		return VerdictNone
 	}
-	blind := rollout.peerMessages && minReportingOneIn*(rollout.reportingPeers+1) < lb.gateways
-	if !slices.Contains(lb.voters(rollout.build), lb.rank) {
-		if word, heard := lb.followedVerdict(now); heard {
-			return word
+	blind := state.settings.peerMessages && minReportingOneIn*(state.peers.reporting+1) < lb.gateways
+	if !slices.Contains(lb.voters(state.build), lb.rank) {
+		if verdict, heard := lb.followedVerdict(now); heard {
+			return verdict
 		}
+		// A gateway that hears no voter judges by its own evidence: where many votes are required, so many would hardly err
+		// at once.
 		blind = true
 	}
-	// With few earlier machines left a case by failures must stand a while (guards against machines that begin
-	// to fail after a release, until they are named ill; harms where a build does so).
-	if level, work := lb.evidence(); level >= sequentialtest.LogThreshold() {
-		rollout.rollbackCase = rollout.rollbackCase || lb.baselineRemains() || work >= sequentialtest.LogThreshold() || now-rollout.rollbackCaseClearAt >= rollbackCaseHold
-	} else if rollout.rollbackCaseClearAt = now; rollout.mode == PromoteByTimer && level < math.Log(timerHoldLevel) {
-		rollout.rollbackCase = false
-	}
-	if rollout.rollbackCase {
+	lb.updateRollbackCase(now)
+	if state.rollback.stands {
 		return VerdictRollBack
 	}
-	if canary.phase != PhaseCanary || rollout.mode == PromoteByTimer {
+	if canary.phase != PhaseCanary || state.settings.mode == PromoteByTimer {
 		return VerdictNone
 	}
-	// Guards against lost messages: without the others' totals a build is moved on later, and not at all where
-	// a bad one costs far more than a wait. A gateway that hears no voter judges by its own: where many votes
-	// are required, so many would hardly err at once. A bad build may come further than it would with
-	// messages.
+	return lb.promotionVerdict(blind, now)
+}
+
+// updateRollbackCase weighs the evidence again. Once few baseline endpoints remain, a case by failures must stand a while: it
+// guards against endpoints that begin to fail after a release, until they are found to be outliers, and harms where a build
+// does so.
+func (lb *Balancer) updateRollbackCase(now monotonic.Time) {
+	state, threshold := &lb.rollout, sequentialtest.LogThreshold()
+	evidence := lb.evidence()
+	if evidence.All >= threshold {
+		state.rollback.stands = state.rollback.stands || lb.baselineRemains() || evidence.Cost >= threshold ||
+			now-state.rollback.clearAt >= rollbackCaseHold
+		return
+	}
+	state.rollback.clearAt = now
+	if state.settings.mode == PromoteByTimer && evidence.All < math.Log(timerHoldLevel) {
+		state.rollback.stands = false
+	}
+}
+
+// promotionVerdict promotes the build once the stage's endpoints have run for a while. A blind gateway lacks the others'
+// evidence: it promotes later, and not at all where a bad build costs far more than a wait. A bad build may come further than
+// it would with messages.
+func (lb *Balancer) promotionVerdict(blind bool, now monotonic.Time) Verdict {
+	state := &lb.rollout
 	wait := promoteWait
-	if blind && rollout.lagCost < blindMinLagShare*rollout.harmCost {
+	if blind && state.settings.lagCost < blindMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if blind {
 		wait = blindPromoteWait
 	}
-	latest, all := lb.latestStart()
-	if over := max(latest, rollout.stageStartedAt) + wait; latest > 0 && now < over {
-		rollout.promoteCheckAt = over
-	} else if latest > 0 && (all || now-rollout.stageStartedAt > stageListedTimeout) {
+	latest, allListed := lb.latestStart()
+	if latest <= 0 {
+		return VerdictNone
+	}
+	if over := max(latest, state.stage.startedAt) + wait; now < over {
+		state.stage.promoteCheckAt = over
+		return VerdictNone
+	}
+	if allListed || now-state.stage.startedAt > stageListedTimeout {
 		return VerdictPromote
 	}
 	return VerdictNone
 }
 
-// latestStart is the latest listed start of the build's machines, and whether all of the stage's are listed
-// or were. Guards against machines that die amid a stage: their restarts are no starts of it. Harms where a
-// build kills its machines slowly: it moves on with fewer.
-func (lb *Balancer) latestStart() (latest monotonic.Time, all bool) {
-	canary, rollout := &lb.canary, &lb.rollout
-	latest, shown := lb.buildStarts(canary.build)
-	rollout.stageListed = rollout.stageListed || canary.stage >= len(rollout.stageShares) ||
-		float64(shown) >= math.Ceil(rollout.stageShares[canary.stage]*float64(lb.endpointList.maxEndpoints)-0.01)
-	return latest, rollout.stageListed
+// latestStart returns the latest listed start of the build's endpoints, and whether all of the stage's are listed or were. It
+// guards against endpoints that crash during a stage, whose restarts are no starts of it, and harms where a build kills its
+// endpoints slowly: it is promoted with fewer.
+func (lb *Balancer) latestStart() (latest monotonic.Time, allListed bool) {
+	canary, state := &lb.canary, &lb.rollout
+	latest, listed := lb.buildStarts(canary.build)
+	shares := state.settings.stageShares
+	state.stage.listed = state.stage.listed || canary.stage >= len(shares) ||
+		float64(listed) >= math.Ceil(shares[canary.stage]*float64(lb.endpointList.maxEndpoints)-stageShareTolerance)
+	return latest, state.stage.listed
 }
 
-// vote casts this gateway's vote when it has changed, before it lapses, and again after a lost answer.
-func (lb *Balancer) castVote(found Verdict, now monotonic.Time, due *DueWork) {
-	rollout, canary := &lb.rollout, &lb.canary
-	v := Vote{Build: rollout.build, Stage: canary.stage, Verdict: found}
-	if v.Verdict == VerdictNone && rollout.lastVote.Verdict == VerdictNone || rollout.voteInFlight && now < rollout.votedAt+rollout.answerTimeout+time.Second {
-		return
-	}
-	if v == rollout.lastVote && now < rollout.nextVoteAt || v.Verdict == VerdictNone && canary.phase != PhaseCanary {
-		return
-	}
-	due.Votes = append(due.Votes, v)
-	rollout.lastVote, rollout.votedAt, rollout.voteInFlight, rollout.nextVoteAt = v, now, true, now+rollout.answerTimeout
-}
-
-// starts gives the latest start of a build's ready machines, and how many there are.
-func (lb *Balancer) buildStarts(build int) (latest monotonic.Time, shown int) {
+// buildStarts returns the latest start of a build's ready endpoints, and how many there are.
+func (lb *Balancer) buildStarts(build int) (latest monotonic.Time, listed int) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && endpoint.build == build {
 			latest = max(latest, endpoint.firstStartedAt)
-			shown++
+			listed++
 		}
 	}
-	return latest, shown
-}
-
-// judge is the pair test and the vote.
-type rolloutState struct {
-	mode                        PromotionMode
-	promoteVotes, rollbackVotes int
-	stageShares                 []float64
-	voteTTL                     time.Duration
-	answerTimeout               time.Duration
-	lagCost, harmCost           float64 // what it costs to serve all by an earlier build, and to fail all effects
-	peerMessages                bool
-
-	build                int // the build under judgement, 0 for none
-	ownCounters          []uint32
-	stageBaseline        []uint32          // all totals when the stage began, or the release, were first looked at
-	departedCounters     []uint32          // of it, what machines showed that have left
-	busyTime             [2]float64        // busy time by the machines' own figures: trial, earlier builds
-	previousBusyTime     [2]float64        // the same when totals were last due
-	departedBusyTime     [2]float64        // of it, that of machines that have left
-	statusReceived       bool              // a stage has been told
-	costBaseline         []uint32          // all totals when their work began to be seen; nil while it is not
-	costBaselineAt       monotonic.Time    // when that was, if it was
-	joinedMidCanary      bool              // after the build was first heard of
-	costComparable       bool              // and long enough ago
-	restartedCounters    []uint32          // totals of gateways that have started anew
-	baselineCost         float64           // what a command cost the machines before the build
-	fleetCost            [2]float64        // answers since the stage began, and their cost in those of before
-	pendingFleetCost     [][2]float64      // the latest of the same, not yet added
-	reports              []*EvidenceReport // each sender's latest, by number
-	reportingPeers       int               // senders heard lately
-	underReported        bool              // they are too few
-	underReportedAt      monotonic.Time    // since then this voter has heard most gateways
-	voters               []int
-	votersBuild          int            // the build whose voters these are
-	voterReports         []*VoterReport // each voter's latest
-	lastReportedVerdict  Verdict        // what was last told to the others
-	lastReportedOutliers int            // machines it named
-	nextVoterReportAt    monotonic.Time // when that is told again
-	buildSeenAt          monotonic.Time // when the list first showed the build
-	stageStartedAt       monotonic.Time // when the present stage was first heard of
-	stageListed          bool           // the present stage was, in full
-	nextEvidenceAt       monotonic.Time // when totals are next due
-	promoteCheckAt       monotonic.Time // when the wait before 'on' is over, far off where none is
-	rollbackCase         bool           // the product has reached its level
-	rollbackCaseClearAt  monotonic.Time // when it last had not
-	lastVote             Vote           // the last one cast
-	votedAt              monotonic.Time
-	voteInFlight         bool // for its answer
-	nextVoteAt           monotonic.Time
+	return latest, listed
 }
 
-func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
-	return rolloutState{
-		mode:           config.Mode,
-		promoteVotes:   config.PromoteVotes,
-		rollbackVotes:  config.RollbackVotes,
-		stageShares:    config.StageShares,
-		voteTTL:        config.VoteTTL,
-		answerTimeout:  config.AnswerTimeout,
-		peerMessages:   config.PeerMessages && gateways > 1,
-		lagCost:        costs.Lag,
-		harmCost:       costs.Harm,
-		promoteCheckAt: math.MaxInt64,
-		reports:        make([]*EvidenceReport, gateways),
+// castVote casts this gateway's vote when it has changed, before it lapses, and again after a lost answer.
+func (lb *Balancer) castVote(verdict Verdict, now monotonic.Time, due *DueWork) {
+	state, canary := &lb.rollout, &lb.canary
+	vote := Vote{Build: state.build, Stage: canary.stage, Verdict: verdict}
+	if !state.vote.isDue(vote, state.settings.answerTimeout, now) || verdict == VerdictNone && canary.phase != PhaseCanary {
+		return
 	}
+	due.Votes = append(due.Votes, vote)
+	state.vote = voteState{last: vote, castAt: now, inFlight: true, nextAt: now + state.settings.answerTimeout}
 }
 
-// judging tells whether a build is under judgement: evidence for and against it is counted.
-func (rollout *rolloutState) judging() bool { return rollout.ownCounters != nil }
-
-// startStage begins a stage or a phase of the newest build.
-func (rollout *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
-	rollout.stageStartedAt = startedAt
-	rollout.nextVoteAt, rollout.stageListed, rollout.stageBaseline = 0, false, nil
-	if rollout.judging() && phase == PhaseCanary {
-		// What was clean at a smaller stage says little about this one.
-		rollout.fleetCost, rollout.pendingFleetCost = [2]float64{}, nil
+// isDue tells whether a vote is to be cast: not while the one before is unanswered, and not while it says the same and stands.
+func (v *voteState) isDue(vote Vote, answerTimeout time.Duration, now monotonic.Time) bool {
+	if vote.Verdict == VerdictNone && v.last.Verdict == VerdictNone {
+		return false
 	}
+	if v.inFlight && now < v.castAt+answerTimeout+lostAnswerGrace {
+		return false
+	}
+	return vote != v.last || now >= v.nextAt
 }
 
-// scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
-func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
-	lb.rollout.nextEvidenceAt = now + time.Duration(lb.draw(int(evidenceInterval/time.Millisecond)))*time.Millisecond
-}
-
-// advanceRollout does what is due for the build under judgement and returns when it is to be called again.
-func (lb *Balancer) advanceRollout(now monotonic.Time, due *DueWork) monotonic.Time {
-	rollout := &lb.rollout
-	if now >= rollout.nextEvidenceAt {
-		rollout.nextEvidenceAt = now + evidenceInterval
-		lb.learnFleetBaseline(now)
-		lb.shareEvidence(now, due)
-	} else if now >= rollout.promoteCheckAt {
-		rollout.promoteCheckAt = math.MaxInt64
-		lb.castVote(lb.currentVerdict(now), now, due)
+// VoteAnswered takes in how the casting of a vote ended. One that was not counted, or may not have been, is cast again.
+func (lb *Balancer) VoteAnswered(outcome Outcome, now monotonic.Time) {
+	vote := &lb.rollout.vote
+	vote.inFlight = false
+	switch outcome {
+	case OutcomeSuccess:
+		vote.nextAt = vote.castAt + lb.rollout.settings.voteTTL/2
+	case OutcomeNotSent:
+		vote.last = Vote{}
+		vote.nextAt = now + notSentRetryDelay
+	default:
+		jitter := time.Duration(lb.draw(int(uncertainRetryJitter/time.Millisecond))) * time.Millisecond
+		vote.nextAt = now + uncertainRetryDelay + jitter
 	}
-	return min(rollout.nextEvidenceAt, rollout.promoteCheckAt)
 }
