--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -107,18 +107,22 @@
 
 	begun := time.Now()
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
-	budget := transport.NewBudget(descriptors)
-	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
-	instances := transport.NewInstances(budget, complaints, connectWithin, idleFor/2)
+	budget := transport.NewDescriptorBudget(descriptors)
+	complaints, lots := &transport.RateLimitedLog{}, seededrand.New(seed)
+	endpoints, err := transport.NewEndpointPool(transport.EndpointPoolConfig{
+		Budget: budget, Log: complaints, ConnectTimeout: connectWithin, IdleTimeout: idleFor / 2})
+	if err != nil {
+		return err
+	}
 	post := func(int, []byte) {}
 	var r *routing.Router
-	var peers *transport.Peers
+	var peers *transport.PeerSocket
 	if peersAt != "" {
-		if peers, err = transport.NewPeers(peersAt, each, all); err != nil {
+		if peers, err = transport.NewPeerSocket(peersAt, each, all); err != nil {
 			return err
 		}
 		defer peers.Close()
-		post = peers.Post
+		post = peers.Send
 	}
 	var build func(int)
 	var agent *tuf.Agent
@@ -140,26 +144,29 @@
 			build = agent.Build
 		}
 	}
-	var discovery *transport.Discovery
-	var desk *transport.Desk
+	var discovery *transport.DiscoveryClient
+	var rolloutClient *transport.RolloutClient
 	r = routing.New(gateway, busy, clock, routing.Outside{
 		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
 			ended func(protocol.Response)) routing.Delivery {
-			return instances.Send(address, until, encode, ended)
+			return endpoints.Send(address, until, encode, ended)
 		},
-		Drop:  instances.Drop,
+		Drop:  endpoints.CloseIdleTo,
 		Post:  post,
-		Vote:  func(v decision.Vote) { desk.Vote(v) },
-		Watch: func() { discovery.Watch(ctx) },
+		Vote:  func(v decision.Vote) { rolloutClient.Vote(v) },
+		Watch: func() { discovery.StartWatch(ctx) },
 		Build: build,
 	})
-	desk = transport.NewDesk(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
-		if why == nil {
-			log.Info("the platform is heard", "address", address)
-		} else {
-			log.Warn("the platform is lost", "address", address, "cause", why)
-		}
-	}, lots)
+	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
+		Address: deskAt, VoteTimeout: voteWithin, Random: lots, OnStatus: r.News, OnVoteResult: r.Voted,
+		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
+		OnDisconnected: func(address string, err error) {
+			log.Warn("rollout controller disconnected", "address", address, "error", err)
+		},
+	})
+	if err != nil {
+		return err
+	}
 	gateway.StartLease(clock())
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
 		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
@@ -169,40 +176,53 @@
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.News(status)
-	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
-		list, err := protocol.ReadList(text, zones, models)
-		if err != nil {
-			return 0, err
-		}
-		return r.Listed(list, false, anew)
-	}, r.ListFailed, lots)
+	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
+		Address: discoveryAt, MaxWait: askWithin, Revision: startList.Revision, Random: lots,
+		OnListStart: r.ListBegun,
+		OnList: func(text []byte, full bool) (int64, error) {
+			list, err := protocol.ReadList(text, zones, models)
+			if err != nil {
+				return 0, err
+			}
+			return r.Listed(list, false, full)
+		},
+		OnFailure: r.ListFailed,
+	})
+	if err != nil {
+		return err
+	}
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
-		func(request protocol.Request, to *transport.Answer) {
-			r.Command(request, to)
-		}, func(to *transport.Answer) { r.Gone(to) })
+	clients, err := transport.NewClientServer(transport.ClientServerConfig{
+		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(memory)), MaxRemaining: longest,
+		OpTypes:      named,
+		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.Command(request, response) },
+		OnDisconnect: func(response *transport.PendingResponse) { r.Gone(response) },
+	})
+	if err != nil {
+		return err
+	}
 	go r.Run(ctx)
 	if _, err := r.Listed(startList, true, false); err != nil {
 		return err
 	}
-	go desk.Run(ctx)
+	go rolloutClient.Run(ctx)
 	if agent != nil {
 		background := make(chan struct{}) // it holds the store until it has ended
 		go func() { defer close(background); agent.Run(ctx) }()
 		defer func() { stop(); <-background }()
 	}
 	if !mustAsk {
-		go discovery.Keep(ctx)
+		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
 		go peers.Run(r.Heard, complaints)
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- front.Serve(ln) }()
+	go func() { failed <- clients.Serve(ln) }()
 	log.Info("serving", "address", listen, "memory", memory, "descriptors", descriptors)
 	var rested chan int
 	for {
@@ -214,10 +234,10 @@
 				log.Error("the configuration stays as it was", "cause", err)
 			} else {
 				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
-				if discovery.Move(listAt) {
+				if discovery.SetAddress(listAt) {
 					r.ListMoved()
 				}
-				desk.Move(votesAt)
+				rolloutClient.SetAddress(votesAt)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -234,8 +254,8 @@
 			r.Ending(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
-				front.Drain()
-				rested <- front.Rest(answered + 2*killMargin)
+				clients.Drain()
+				rested <- clients.AwaitDisconnects(answered + 2*killMargin)
 			}()
 		case n := <-rested:
 			if n > 0 {
--- a/decision/config.go
+++ b/decision/config.go
@@ -5,6 +5,10 @@
 	"fmt"
 	"math"
 	"time"
+
+	"laurelring/decision/admission"
+	"laurelring/decision/discovery"
+	"laurelring/decision/seeded"
 )
 
 // Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
@@ -113,29 +117,31 @@
 	}
 	gateways := max(config.Gateways, 1)
 	lb := &Balancer{
-		seed:                config.Seed,
+		random:              seeded.New(config.Seed),
 		rank:                config.Rank,
 		gateways:            gateways,
 		zone:                config.Zone,
 		tick:                max(config.Tick, time.Millisecond),
 		meanRelativeLatency: 1,
-		concurrencyWindow:   math.Inf(1),
+		admission:           admissionState{window: admission.NewConcurrencyWindow()},
 		attemptLimits: attemptLimits{
 			maxAttempts:   config.Attempts.Max,
 			mayCancel:     config.Attempts.MayCancel,
 			maxRetryAfter: config.Attempts.MaxRetryAfter,
 			crossZoneCost: config.Costs.CrossZone,
 		},
-		canary:    newCanaryState(config.Exposure),
+		canary:    newCanaryState(config.Exposure, len(config.OpTypes), max(config.Tick, time.Millisecond)),
 		slowStart: newSlowStartState(config.SlowStart),
 		rollout:   newRolloutState(config.Rollout, config.Costs, gateways),
 	}
-	lb.discoveryPolling.required, lb.discoveryPolling.due = config.PollDiscovery, config.PollDiscovery
+	if config.PollDiscovery {
+		lb.endpointList.polling = discovery.NewPacing()
+	}
 	for _, opType := range config.OpTypes {
 		lb.opTypes = append(lb.opTypes, newOpType(len(lb.opTypes), opType))
 	}
 	for _, tenant := range config.Tenants {
-		lb.tenants = append(lb.tenants, &Tenant{quotaRate: tenant.QuotaRate})
+		lb.admission.quotas.Add(tenant.QuotaRate)
 	}
 	return lb, nil
 }
@@ -143,8 +149,8 @@
 // OpTypes gives the op types in the order of the configuration.
 func (lb *Balancer) OpTypes() []*OpType { return lb.opTypes }
 
-// Tenants gives the tenants in the order of the configuration.
-func (lb *Balancer) Tenants() []*Tenant { return lb.tenants }
+// Tenants returns the tenants in the order of the configuration.
+func (lb *Balancer) Tenants() []*Tenant { return lb.admission.quotas.Tenants() }
 
 // attemptLimits is what this deployment permits of attempts.
 type attemptLimits struct {
@@ -169,21 +175,6 @@
 	}
 }
 
-func newCanaryState(config ExposureConfig) canaryState {
-	return canaryState{
-		window:          config.Window,
-		allowance:       config.Allowance,
-		perOpType:       config.PerOpType,
-		closedStages:    config.ClosedStages,
-		stickyKeys:      config.StickyKeys,
-		stageCaps:       config.StageCaps,
-		build:           -1,
-		attemptsByBuild: map[int][]slidingWindow{},
-		stickyBuilds:    map[uint64]int{},
-		keyCounts:       map[uint64]int{},
-	}
-}
-
 func newSlowStartState(config SlowStartConfig) slowStartState {
 	return slowStartState{
 		initialCapacity:  config.InitialCapacity,
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	evidence.connectionsLostAt = attempt.sentAt + took
-	return lb.draw(lb.gateways) == 0
+	return lb.random.Below(lb.gateways) == 0
 }
 
 // WrongAnswerReported counts an endpoint's answer that its client found wrong as a failure of the endpoint's build.
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -43,8 +43,7 @@
 
 // scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
 func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
-	delay := time.Duration(lb.draw(int(evidenceInterval/time.Millisecond))) * time.Millisecond
-	lb.rollout.peers.nextReportAt = now + delay
+	lb.rollout.peers.nextReportAt = now + lb.random.Jitter(evidenceInterval)
 }
 
 // reportEvidence lays out this gateway's totals and observations for the voters.
@@ -165,5 +164,5 @@
 		lb.restartCostComparison(now)
 	}
 	// A few attempts come in bursts: the comparison needs a whole exposure window.
-	cost.comparable = cost.start != nil && now-cost.startedAt >= max(voterReportTTL, lb.canary.window)
+	cost.comparable = cost.start != nil && now-cost.startedAt >= max(voterReportTTL, lb.canary.exposure.Window())
 }
--- a/decision/request.go
+++ b/decision/request.go
@@ -8,44 +8,13 @@
 
 const (
 	initialMeanLatencyShare = 0.25 // of the service target: taken for a mean time before there is one
-	overQuotaPriority       = 0.01 // of its priority: what a request beyond its tenant's quota keeps
 	lateValueThreshold      = 0.5  // of a command's importance: a late answer worth less gives way to commands that wait
 )
 
-// Arrival is a request that a client has sent.
-type Arrival struct {
-	OpType    *OpType
-	Tenant    *Tenant       // nil where the deployment has none
-	Key       uint64        // requests with the same key are related; 0 for none
-	Work      time.Duration // expected; 0 where it is not known
-	Remaining time.Duration // until the client gives up
-}
-
-// Admit takes a request in: it gets its deadline, its latency objective and its priority. Route decides what becomes of it.
-func (lb *Balancer) Admit(arrival Arrival, now monotonic.Time) *Request {
-	op := arrival.OpType
-	request := &Request{opType: op, key: arrival.Key, deadline: now + arrival.Remaining}
-	objective := op.latencyObjective + time.Duration(op.objectiveStretch*float64(arrival.Work))
-	request.latencyDeadline = min(now+objective, request.deadline)
-	request.priority = op.priorityWeight / float64(max(op.latencyObjective, time.Millisecond))
-	if arrival.Tenant != nil && lb.overQuota(arrival.Tenant, now) {
-		request.priority *= overQuotaPriority
-	}
-	canary := &lb.canary
-	canary.arrivals.add(now, canary.window)
-	op.arrivals.add(now, canary.window)
-	lb.recordArrival(now)
-	lb.slowStart.arrivals.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
-	if canary.stickyKeys && arrival.Key != 0 {
-		lb.countKey(arrival.Key)
-	}
-	return request
-}
-
 // bound is the moment after which an answer is not worth its work: the service target where a late one
 // earns nothing, or little while others wait for room; else the client's patience.
 func (lb *Balancer) worthwhileUntil(request *Request) time.Duration {
-	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && len(lb.queue) > 0 {
+	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && lb.QueueLength() > 0 {
 		return request.latencyDeadline
 	}
 	return request.deadline
@@ -53,7 +22,7 @@
 
 // expected is the time a delivery is expected to take; a first one is not refused for an inflated mean.
 func (lb *Balancer) expectedLatency(request *Request) float64 {
-	if len(request.Attempts) == 0 {
+	if len(request.attempts) == 0 {
 		return min(request.opType.meanLatency*1.3, float64(request.opType.latencyObjective)*0.85)
 	}
 	return request.opType.meanLatency
@@ -63,14 +32,14 @@
 // run, or where a repeat does no harm.
 func (lb *Balancer) refuse(request *Request, why RejectReason) Decision {
 	lb.dequeue(request)
-	request.Completed = true
-	for _, attempt := range request.Attempts {
+	request.completed = true
+	for _, attempt := range request.attempts {
 		if attempt.mayHaveExecuted && !request.opType.safeToRepeat() {
 			return Decision{Action: ActionFail, Reason: why}
 		}
 	}
 	after := time.Duration(request.opType.meanLatency)
-	if len(lb.queue) > 0 {
+	if lb.QueueLength() > 0 {
 		after = lb.attemptLimits.maxRetryAfter // others wait already
 	}
 	return Decision{Action: ActionReject, Reason: why, RetryAfter: min(lb.attemptLimits.maxRetryAfter, after)}
@@ -87,7 +56,7 @@
 	if request.opType.idempotency == Idempotent {
 		return true
 	}
-	for _, attempt := range request.Attempts {
+	for _, attempt := range request.attempts {
 		if !attempt.mayHaveExecuted {
 			continue
 		}
@@ -104,12 +73,12 @@
 // ToldFlowing tells that an answer has begun to stream: it belongs to the client from here on.
 func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
 	attempt.Endpoint.lastResponseAt = now
-	attempt.Request.Completed = true
+	attempt.Request.completed = true
 }
 
 // ToldGone tells that the client has left.
 func (lb *Balancer) ClientGone(request *Request) {
-	request.Completed = true
+	request.completed = true
 	lb.dequeue(request)
 }
 
@@ -119,38 +88,58 @@
 	request.latencyDeadline = min(request.latencyDeadline, lastAnswer)
 }
 
-// Delivery lives from its sending to its outcome.
+// Attempt is one attempt of a request, from its start to its outcome.
 type Attempt struct {
-	Number   int
 	Request  *Request
 	Endpoint *Endpoint
-	Done     bool
 
+	number          int // of its request, from 0 on
+	done            bool
 	sentAt          monotonic.Time
-	build           int // what the instance was when it was sent
+	build           int // the endpoint's build, zone and cell when the attempt started
 	zone            int
 	cell            int
-	overdueCounted  bool // overdue, and booked as lost
-	endpointSilent  bool // and its instance held to be silent
-	canceled        bool // off, as its instance is silent
-	mayHaveExecuted bool // it is out, or its outcome does not prove that it never ran
-	duringWarmUp    bool // the instance was in its first seconds
+	overdueCounted  bool // overdue, and recorded as a loss
+	endpointSilent  bool // overdue at an endpoint that counts as silent: no longer part of the balancer's attempts in flight
+	canceled        bool // the caller was asked to cancel it
+	mayHaveExecuted bool // in flight, or ended with an outcome that does not prove that the request never ran
+	duringWarmUp    bool // started while outcomes of its endpoint were no evidence yet
 }
 
-// Command lives from its arrival to its final answer.
+// Number is the attempt's place among those of its request, from 0 on.
+func (attempt *Attempt) Number() int { return attempt.number }
+
+// Done reports whether FinishAttempt has been called for the attempt.
+func (attempt *Attempt) Done() bool { return attempt.done }
+
+// Request is one request, from its arrival to its final answer.
 type Request struct {
-	Attempts  []*Attempt
-	InFlight  int  // deliveries still out
-	Completed bool // its final answer is given
+	attempts  []*Attempt
+	inFlight  int  // attempts that have not ended
+	completed bool // it has its final answer, or its client has left
 
 	opType          *OpType
-	key             uint64
-	latencyDeadline monotonic.Time // the moment by which its answer is worth the whole
-	deadline        monotonic.Time // the moment at which the client gives up
+	key             uint64         // requests with the same key are related; 0 for none
+	latencyDeadline monotonic.Time // an answer until then has its whole value
+	deadline        monotonic.Time // the client gives up then
 	priority        float64
 	queued          bool
 }
 
+// Attempt returns the attempt with a number, or nil where the request has had no such attempt.
+func (request *Request) Attempt(number int) *Attempt {
+	if number >= len(request.attempts) {
+		return nil
+	}
+	return request.attempts[number]
+}
+
+// AttemptInFlight reports whether an attempt of the request has not ended.
+func (request *Request) AttemptInFlight() bool { return request.inFlight > 0 }
+
+// Completed reports whether the request has its final answer, or its client has left.
+func (request *Request) Completed() bool { return request.completed }
+
 // OpType is one type of command, with what its answers have taught.
 type OpType struct {
 	index            int
@@ -163,8 +152,7 @@
 	dedupScope       DeduplicationScope
 	dedupWindow      time.Duration
 
-	meanLatency float64       // ns; smoothed time of answers
-	arrivals    slidingWindow // commands taken, where exposure is counted by op type
+	meanLatency float64 // ns; smoothed duration of answered attempts
 }
 
 // Model is one kind of machine, with what the earlier builds' answers have taught.
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"laurelring/decision/decay"
 	"laurelring/decision/monotonic"
 	"laurelring/decision/rollout"
 )
@@ -84,7 +85,7 @@
 			busy += endpoint.utilization * lb.normalizedPower(endpoint)
 			// Compensates for results that were not known before this gateway heard most others, or the endpoint was listed.
 			since := max(now-max(lb.rollout.peers.underReportedAt, endpoint.learnedAt), evidenceInterval)
-			answers += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay(0, since, observationDecay))
+			answers += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay.Factor(0, since, observationDecay))
 		}
 	}
 	if busy == 0 || answers == 0 {
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -75,7 +75,7 @@
 	for _, endpoint := range lb.endpoints {
 		lb.retireEvidence(endpoint)
 	}
-	lb.canary.stickyRequests = 0
+	lb.canary.stickyKeys.CanaryStarted()
 	state.build, state.buildSeenAt = build, now
 	state.evidence = newEvidenceState(len(lb.opTypes))
 	var costStart rollout.Table
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/seeded"
 )
 
 const (
@@ -50,7 +51,7 @@
 	if voters.ranks == nil || voters.build != build {
 		ranks, hashes := make([]int, lb.gateways), make([]uint64, lb.gateways)
 		for rank := range ranks {
-			ranks[rank], hashes[rank] = rank, hashPair(uint64(build), uint64(rank))
+			ranks[rank], hashes[rank] = rank, seeded.Hash(uint64(build), uint64(rank))
 		}
 		slices.SortStableFunc(ranks, func(a, b int) int { return cmp.Compare(hashes[a], hashes[b]) })
 		voters.ranks, voters.build = ranks[:n], build
