--- /dev/null
+++ b/decision/canary_test.go
@@ -0,0 +1,54 @@
+package decision
+
+import (
+	"testing"
+
+	"laurelring/decision/exposure"
+)
+
+// Incident rough-1 of rolls-east: a trial machine listed late got its whole unused budget at once.
+func TestNewCanaryEndpointGetsNoBurst(t *testing.T) {
+	gateway := withEndpoints(newTestGateway(3, PromoteByQuorum), 8)
+	for i := 0; i < 1000; i++ {
+		gateway.now += 4 * millisecond
+		gateway.send(0, 0)
+		gateway.answerAfter(40 * millisecond)
+	}
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 1, Phase: PhaseCanary, ExposureCap: 0.5}, gateway.now)
+	gateway.addEndpoints(1, gateway.now-10*second, 2)
+	trial := gateway.endpoints[8]
+	for i := 0; i < 10; i++ {
+		gateway.send(0, 0)
+	}
+	if len(trial.inFlight) == 0 || len(trial.inFlight) > 4 {
+		t.Errorf("a freshly listed trial machine holds %d of ours, want a few", len(trial.inFlight))
+	}
+}
+
+// A pinned key goes to no earlier build, until the new one is sent back.
+func TestStickyKeyGoesToNoEarlierBuild(t *testing.T) {
+	gateway := newTestGateway(6, PromoteByAnyVote)
+	gateway.balancer.canary.stickyKeys = exposure.NewStickyKeys()
+	gateway.addEndpoints(4, 0, 1)
+	gateway.addEndpoints(1, gateway.now-10*second, 2)
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseCanary, ExposureCap: 0.5}, gateway.now)
+	key := uint64(100)
+	request := gateway.send(0, key)
+	for ; key < 150 && request.attempts[0].Endpoint.build != 2; key++ { // a budget below one comes by lot
+		gateway.now += 100 * millisecond
+		gateway.answerAfter(200 * millisecond)
+		request = gateway.send(0, key+1)
+	}
+	if request.attempts[0].Endpoint.build != 2 {
+		t.Fatal("the trial got nothing")
+	}
+	gateway.finish(request.attempts[0], OutcomeSuccess)
+	gateway.endpoints[4].ready = false
+	if next := gateway.send(0, key); len(next.attempts) != 0 {
+		t.Error("a key that the new build has answered went to an earlier one")
+	}
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseRollingBack}, gateway.now)
+	if next := gateway.send(0, key); len(next.attempts) != 1 {
+		t.Error("a key stayed pinned to a build that goes back")
+	}
+}
--- /dev/null
+++ b/decision/evidence_test.go
@@ -0,0 +1,94 @@
+package decision
+
+import (
+	"testing"
+
+	"laurelring/decision/rollout"
+	"laurelring/decision/sequentialtest"
+)
+
+// Socket bench, heavy traffic: a build that began to fail after its release stayed, as thousands of clean tries hid
+// ten failures.
+func TestFailuresSinceTheReleaseSpeakAgainstTheBuild(t *testing.T) {
+	gateway := withEndpoints(newTestGateway(9, PromoteByAnyVote), 8)
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
+	gateway.addEndpoints(8, gateway.now-20*second, 2)
+	gateway.endpoints[0].evidence.byOpType[0] = rollout.Counters{Attempts: 1500, Failures: 1}
+	for step, tries := range []uint32{4000, 4000, 4225} { // on trial, released, later
+		if step == 1 {
+			gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 2, Phase: PhaseReleased, ExposureCap: 1}, gateway.now)
+		}
+		gateway.endpoints[8].evidence.byOpType[0] = rollout.Counters{Attempts: tries, Failures: (tries - 4000) / 22}
+		gateway.balancer.sumEvidence(gateway.now)
+		if all := gateway.balancer.evidence().All; (all >= sequentialtest.LogThreshold()) != (step == 2) {
+			t.Errorf("step %d: e^%.1f against the build", step, all)
+		}
+	}
+}
+
+// A build that fails 15 commands in a thousand goes back where failing effects is dear, and stays where being
+// behind costs as much.
+func TestFailureMarginFollowsCosts(t *testing.T) {
+	for harm, back := range map[float64]bool{8: true, 0.3: false, 0: false} {
+		gateway := withEndpoints(newTestGateway(9, PromoteByAnyVote), 8)
+		gateway.balancer.rollout.settings.harmCost = harm
+		gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 1, Phase: PhaseCanary, ExposureCap: 0.5}, gateway.now)
+		gateway.addEndpoints(4, gateway.now-20*second, 2)
+		for _, endpoint := range gateway.endpoints {
+			endpoint.evidence.byOpType[0] = rollout.Counters{Attempts: 1000}
+			if endpoint.build == 2 {
+				endpoint.evidence.byOpType[0].Failures = 15
+			}
+		}
+		gateway.balancer.sumEvidence(gateway.now)
+		if all := gateway.balancer.evidence().All; (all >= sequentialtest.LogThreshold()) != back {
+			t.Errorf("harm %v: e^%v against the build", harm, all)
+		}
+	}
+}
+
+// Errors of one trial machine among several are its own; all of them failing is the build's, though with no
+// earlier machine left only a while later.
+func TestErrorsOfAnOutlierAreNotThoseOfItsBuild(t *testing.T) {
+	for _, c := range []struct{ ill, base int }{{1, 8}, {4, 8}, {4, 0}} {
+		gateway := withEndpoints(newTestGateway(4, PromoteByAnyVote), 8)
+		gateway.run(4*second, 0)
+		gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 3, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
+		gateway.addEndpoints(4, gateway.now-10*second, 2)
+		gateway.run(2*second, 0)
+		for _, endpoint := range gateway.endpoints[c.base:8] {
+			gateway.balancer.UpdateEndpoint(endpoint, EndpointStatus{Build: 1, Size: 2}, gateway.now)
+		}
+		gateway.run(second, c.ill)
+		early := gateway.balancer.currentVerdict(gateway.now) == VerdictRollBack
+		gateway.run(3*second, c.ill)
+		if late := gateway.balancer.currentVerdict(gateway.now) == VerdictRollBack; early && c.base == 0 || late != (c.ill == 4) {
+			t.Errorf("%d of four trial machines fail beside %d: back is %v, then %v", c.ill, c.base, early, late)
+		}
+	}
+}
+
+// Incident i1e3b86: every gateway sees the same crash; among them it counts about once.
+func TestCrashCountsOnceAmongGateways(t *testing.T) {
+	gateway := withEndpoints(newTestGateway(8, PromoteByAnyVote), 3)
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
+	const crashes = 90
+	for i := 0; i < crashes; i++ {
+		gateway.now += 6 * second
+		for n := 0; n < 4; n++ {
+			gateway.send(2, 0)
+		}
+		endpoint := gateway.inFlight[0].Endpoint
+		for _, attempt := range append([]*Attempt(nil), endpoint.inFlight...) {
+			gateway.finish(attempt, OutcomeConnectionLost)
+		}
+		gateway.answerAfter(0)
+	}
+	fails := 0
+	for _, endpoint := range gateway.endpoints {
+		fails += int(endpoint.evidence.byOpType[2].Failures)
+	}
+	if fails < crashes/6 || fails > crashes/2 {
+		t.Errorf("%d crashes counted %d times by one of three gateways", crashes, fails)
+	}
+}
--- /dev/null
+++ b/decision/paths_test.go
@@ -0,0 +1,57 @@
+package decision
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Grown rolls-east, big-1: a zone from which answers come late or never is left out, and tried again in
+// time.
+func TestZoneBehindASlowPathIsLeftOut(t *testing.T) {
+	gateway := withEndpoints(newFleetMember(6, PromoteByQuorum, 0, 100, 30), 8)
+	for _, endpoint := range gateway.endpoints[4:] {
+		gateway.balancer.UpdateEndpoint(endpoint, EndpointStatus{Ready: true, Present: true, Build: 1, Zone: 1, Size: 2}, gateway.now)
+	}
+	far := func(n int, extra time.Duration) (sent int) {
+		for i := 0; i < n; i++ {
+			gateway.now += 200 * millisecond
+			gateway.send(0, 0)
+			for _, attempt := range append([]*Attempt(nil), gateway.inFlight...) {
+				if gateway.now += 50 * millisecond; attempt.Endpoint.zone == 1 {
+					sent++
+					gateway.now += extra
+				}
+				gateway.finish(attempt, OutcomeSuccess)
+			}
+		}
+		return sent
+	}
+	if quick, slow := far(40, 0), far(40, 700*millisecond); quick < 12 || slow > 5 {
+		t.Errorf("%d of 40 crossed a quick way, then %d of 40 a slow one", quick, slow)
+	}
+	gateway.now += 40 * second
+	if again := far(10, 0); again == 0 {
+		t.Error("a slow way is never tried again")
+	}
+}
+
+// Grown lima-horarios, big-2: where few connections are accepted, machines that answered are kept to.
+func TestKeepsToEndpointsThatAcceptConnections(t *testing.T) {
+	gateway := withEndpoints(newFleetMember(7, PromoteByQuorum, 0, 100, 30), 80)
+	sent := 0
+	for i := 0; i < 100; i++ {
+		gateway.now += 300 * millisecond
+		for gateway.send(0, 0); len(gateway.inFlight) > 0; sent++ {
+			gateway.now += 20 * millisecond
+			if slices.Index(gateway.endpoints, gateway.inFlight[0].Endpoint)%30 == 3 {
+				gateway.finish(gateway.inFlight[0], OutcomeSuccess)
+			} else {
+				gateway.finish(gateway.inFlight[0], OutcomeConnectFailed)
+			}
+		}
+	}
+	if sent > 200 {
+		t.Errorf("%d deliveries for 100 commands where three of eighty machines accept connections", sent)
+	}
+}
--- /dev/null
+++ b/decision/selection_test.go
@@ -0,0 +1,30 @@
+package decision
+
+import (
+	"testing"
+)
+
+// Socket bench, spoilt answers and a hang: with all machines on trial, those in good order had no room within their
+// share, and commands went to silent ones as the only others. They wait.
+func TestSuspectEndpointsDoNotReplaceFullOnes(t *testing.T) {
+	gateway := withEndpoints(newTestGateway(8, PromoteByAnyVote), 0)
+	gateway.addEndpoints(8, 0, 2)
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
+	gateway.exposureCap = 1
+	for range 4 * second / (20 * millisecond) {
+		gateway.now += 20 * millisecond
+		gateway.send(0, 0)
+		gateway.answerAfter(20 * millisecond)
+	}
+	for _, endpoint := range gateway.endpoints[:3] {
+		gateway.balancer.eject(endpoint, gateway.now)
+		endpoint.ejectedUntil = gateway.now + 60*second
+	}
+	for range 200 {
+		gateway.now += 20 * millisecond
+		if gateway.send(0, 0); gateway.lastDecision.Action == ActionForward && gateway.lastDecision.Endpoint.consecutiveFailures > 0 {
+			t.Fatal("sent to a machine in doubt beside others that are full")
+		}
+		gateway.answerAfter(20 * millisecond)
+	}
+}
--- /dev/null
+++ b/decision/silence_test.go
@@ -0,0 +1,22 @@
+package decision
+
+import (
+	"testing"
+)
+
+// Incident on grown rolls-east: where a gateway meets a machine seldom, a slow answer is no silence.
+func TestSilenceCountsOnlyAfterSeveralAttempts(t *testing.T) {
+	for _, ill := range []bool{false, true} {
+		gateway := withEndpoints(newFleetMember(4, PromoteByQuorum, 0, 100, 30), 4)
+		request := gateway.send(0, 0)
+		if ill {
+			gateway.balancer.VoterReportReceived(&VoterReport{Sender: gateway.balancer.voters(1)[0], FoundAt: gateway.now, Build: 1,
+				Outliers: []*Endpoint{request.attempts[0].Endpoint}}, gateway.now)
+		}
+		gateway.now += 1400 * millisecond // six mean times are 1.5 s at first; findings last as long
+		gateway.balancer.opTypes[0].meanLatency = float64(100 * millisecond)
+		if _, due := gateway.balancer.Tick(gateway.now); (len(due.CancelAttempts) > 0) != ill {
+			t.Errorf("named ill %v: %d deliveries called off", ill, len(due.CancelAttempts))
+		}
+	}
+}
--- /dev/null
+++ b/decision/slowstart_test.go
@@ -0,0 +1,21 @@
+package decision
+
+import (
+	"testing"
+)
+
+// Grown lima-horarios, big-1: budgets below one delivery were rounded up by each gateway, or multiplied; a
+// cold machine gets near its share of all together.
+func TestSmallBudgetsOfManyGatewaysAddUp(t *testing.T) {
+	fleet := newTestFleet(3, PromoteByAnyVote, 60, 9)
+	fleet.run(6*second, 1)
+	fleet.addEndpoints(1, fleet.now, 1)
+	fleet.run(5*second, 1)
+	sent := 0
+	for _, gateway := range fleet.gateways {
+		sent += len(gateway.warmUpAttempts[gateway.endpoints[9]])
+	}
+	if sent < 4 || sent > 30 || fleet.violation != "" {
+		t.Errorf("a fresh machine got %d deliveries in 4 s, want about 15 (%s)", sent, fleet.violation)
+	}
+}
--- /dev/null
+++ b/decision/testgateway_test.go
@@ -0,0 +1,224 @@
+package decision
+
+import (
+	"fmt"
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"laurelring/decision/rollout"
+)
+
+// world drives one gateway and keeps the rules' own books beside it, from what is asked and answered alone.
+type testGateway struct {
+	balancer           *Balancer
+	now                time.Duration
+	endpoints          []*Endpoint
+	opTypes            []*OpType
+	inFlight           []*Attempt
+	requests           []*Request
+	lastDecision       Decision
+	arrivals           []time.Duration
+	canaryAttempts     map[int][]time.Duration
+	warmUpAttempts     map[*Endpoint][]time.Duration
+	violation          string
+	counter            uint64
+	seed               uint64
+	drained            map[*Endpoint]bool
+	exposureCap        float64 // the highest cap told lately
+	peerFinishedHalves uint32  // half deliveries at earlier builds that each peer tells of, from before this gateway's start
+}
+
+const (
+	millisecond = time.Millisecond
+	second      = time.Second
+
+	testWindow       = 2 * second
+	testAllowance    = 2.0
+	testOverloadSpan = 1500 * millisecond
+	testCapacity     = 60.0 // what a warm machine answers in a second in these runs, over all gateways
+)
+
+func newTestGateway(seed uint64, control PromotionMode) *testGateway {
+	return newFleetMember(seed, control, 0, 3, 1)
+}
+
+// newMember is one gateway of a fleet, where so many votes are required.
+func newFleetMember(seed uint64, control PromotionMode, rank, peers, votes int) *testGateway {
+	g, err := New(Config{Seed: seed, Rank: rank, Gateways: peers, Tick: 5 * millisecond,
+		OpTypes: []OpTypeConfig{
+			{LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1, LateValueShare: 0.2, Idempotency: Idempotent},
+			{LatencyObjective: second, ClientTimeout: 2 * second, PriorityWeight: 2, Idempotency: IdempotentByKey,
+				DedupScope: ScopeCell, DedupWindow: second},
+			{LatencyObjective: second, ClientTimeout: 2 * second, PriorityWeight: 3, LateValueShare: 0.2, Idempotency: NonIdempotent},
+		},
+		Attempts:  AttemptConfig{Max: 3, MayCancel: true, MaxRetryAfter: 500 * millisecond},
+		Costs:     CostConfig{Lag: 0.3, Harm: 8},
+		SlowStart: SlowStartConfig{InitialCapacity: 0.4, WarmUp: 4 * second, OverloadMultiple: 4, OverloadSpan: testOverloadSpan},
+		Exposure:  ExposureConfig{Window: testWindow, Allowance: testAllowance, StageCaps: []float64{0.1, 0.5, 1}},
+		Rollout: RolloutConfig{Mode: control, PromoteVotes: votes, RollbackVotes: votes,
+			StageShares: []float64{0.1, 0.4, 1}, VoteTTL: 6 * second, AnswerTimeout: second, PeerMessages: true}})
+	if err != nil {
+		panic(err)
+	}
+	gateway := &testGateway{balancer: g, now: 1000 * second, seed: seed, canaryAttempts: map[int][]time.Duration{},
+		warmUpAttempts: map[*Endpoint][]time.Duration{}, drained: map[*Endpoint]bool{}}
+	gateway.opTypes = g.OpTypes()
+	return gateway
+}
+
+// started has machines of a released build.
+func withEndpoints(gateway *testGateway, machines int) *testGateway {
+	gateway.addEndpoints(machines, 0, 1)
+	gateway.balancer.RolloutChanged(RolloutStatus{Build: 1, Stage: 2, Phase: PhaseReleased, ExposureCap: 1}, gateway.now)
+	return gateway
+}
+
+func (gateway *testGateway) draw(n int) int {
+	gateway.counter++
+	h := fnv.New64a()
+	fmt.Fprint(h, gateway.seed, gateway.counter)
+	return int(h.Sum64() >> 30 % uint64(n))
+}
+
+// list adds machines of a build.
+func (gateway *testGateway) addEndpoints(n int, startedAt time.Duration, build int) {
+	for i := 0; i < n; i++ {
+		endpoint := &Endpoint{}
+		gateway.endpoints = append(gateway.endpoints, endpoint)
+		gateway.balancer.UpdateEndpoint(endpoint, EndpointStatus{Ready: true, Present: true, Build: build, Cell: len(gateway.endpoints) % 2, Size: 2, StartedAt: startedAt}, gateway.now)
+	}
+	gateway.balancer.CommitEndpointList(false, gateway.now)
+}
+
+func (gateway *testGateway) send(op int, key uint64) *Request {
+	request := gateway.balancer.Admit(Arrival{OpType: gateway.opTypes[op], Key: key, Remaining: gateway.opTypes[op].clientTimeout}, gateway.now)
+	gateway.arrivals = append(gateway.arrivals, gateway.now)
+	gateway.requests = append(gateway.requests, request)
+	gateway.carryOut(request, gateway.balancer.Route(request, gateway.now))
+	return request
+}
+
+// obey carries a decision out and checks the five rules on it.
+func (gateway *testGateway) carryOut(request *Request, d Decision) {
+	gateway.lastDecision = d
+	switch d.Action {
+	case ActionForward:
+		gateway.checkAttempt(request, d)
+		gateway.inFlight = append(gateway.inFlight, d.Attempt)
+	case ActionReject:
+		for _, attempt := range request.attempts {
+			if request.opType.idempotency != Idempotent && attempt.mayHaveExecuted {
+				gateway.violate("nacked a command that may have run")
+			}
+		}
+	}
+}
+
+func (gateway *testGateway) checkAttempt(request *Request, d Decision) {
+	if gateway.drained[d.Endpoint] || !d.Endpoint.ready {
+		gateway.violate("sent to a machine that drains or is gone")
+	}
+	if gateway.now >= request.deadline || request.completed {
+		gateway.violate("sent for a command that is over")
+	}
+	for _, attempt := range request.attempts[:len(request.attempts)-1] {
+		if !attempt.done {
+			gateway.violate("two deliveries out at once")
+		}
+		if attempt.mayHaveExecuted && (request.opType.idempotency == NonIdempotent ||
+			request.opType.idempotency == IdempotentByKey && (attempt.cell != d.Endpoint.cell || gateway.now >= attempt.sentAt+request.opType.dedupWindow)) {
+			gateway.violate("an effect may happen twice")
+		}
+	}
+	if b := d.Endpoint.build; b > gateway.balancer.canary.build || b == gateway.balancer.canary.build && gateway.balancer.canary.phase != PhaseReleased {
+		gateway.canaryAttempts[b] = append(gateway.canaryAttempts[b], gateway.now)
+		sent, taken := countAfter(gateway.canaryAttempts[b], gateway.now-testWindow), countAfter(gateway.arrivals, gateway.now-testWindow)
+		if float64(sent) > testAllowance+gateway.exposureCap*float64(taken) {
+			gateway.violate("exposure beyond the cap")
+		}
+	}
+	if age := gateway.now - d.Endpoint.startedAt; d.Endpoint.startedAt > 0 && age < 4*second {
+		gateway.warmUpAttempts[d.Endpoint] = append(gateway.warmUpAttempts[d.Endpoint], gateway.now)
+		// Three gateways like this one, each with a third of what eight machines of this power can do.
+		able := 0.4 + 0.6*float64(age)/float64(4*second)
+		if gateway.balancer.gateways == 3 && float64(3*countAfter(gateway.warmUpAttempts[d.Endpoint], gateway.now-testOverloadSpan)) > 4*able*testCapacity*1.5+3 {
+			gateway.violate("a cold machine pushed over")
+		}
+	}
+}
+
+func countAfter(at []time.Duration, after time.Duration) int {
+	from, _ := slices.BinarySearch(at, after+1)
+	return len(at) - from
+}
+
+func (gateway *testGateway) violate(what string) {
+	if gateway.violation == "" {
+		gateway.violation = fmt.Sprintf("%s, at %.3f s", what, float64(gateway.now-1000*second)/1e9)
+	}
+}
+
+func (gateway *testGateway) finish(attempt *Attempt, outcome Outcome) {
+	gateway.inFlight = slices.DeleteFunc(gateway.inFlight, func(o *Attempt) bool { return o == attempt })
+	gateway.carryOut(attempt.Request, gateway.balancer.FinishAttempt(attempt, AttemptResult{Outcome: outcome, Duration: gateway.now - attempt.sentAt, Settled: outcome == OutcomeSuccess}, gateway.now))
+}
+
+// finish acks what has been out for so long.
+func (gateway *testGateway) answerAfter(after time.Duration) {
+	for _, attempt := range append([]*Attempt(nil), gateway.inFlight...) {
+		if gateway.now-attempt.sentAt >= after {
+			gateway.finish(attempt, OutcomeSuccess)
+		}
+	}
+}
+
+// run passes time with commands; the first ill machines of the newest build fail a third of them.
+func (gateway *testGateway) run(span time.Duration, ill int) {
+	sick := map[*Endpoint]bool{}
+	for i := len(gateway.endpoints) - 4; i < len(gateway.endpoints)-4+ill; i++ {
+		sick[gateway.endpoints[i]] = true
+	}
+	for end := gateway.now + span; gateway.now < end; gateway.now += 5 * millisecond {
+		if gateway.now/(5*millisecond)%100 == 0 {
+			gateway.receivePeerReports()
+		}
+		gateway.send(0, 0)
+		for _, endpoint := range gateway.endpoints {
+			gateway.balancer.LoadReported(endpoint, endpoint.utilization, gateway.now)
+		}
+		for _, attempt := range append([]*Attempt(nil), gateway.inFlight...) {
+			if now := gateway.now; now-attempt.sentAt >= time.Duration(20+gateway.draw(60))*millisecond {
+				if sick[attempt.Endpoint] && gateway.draw(3) > 0 {
+					gateway.finish(attempt, OutcomeError)
+				} else {
+					gateway.finish(attempt, OutcomeSuccess)
+				}
+			}
+		}
+		gateway.tick()
+	}
+}
+
+// hearPeers brings in empty totals of all peers.
+func (gateway *testGateway) receivePeerReports() {
+	for i := 1; i < gateway.balancer.gateways; i++ {
+		table := rollout.NewTable(len(gateway.opTypes))
+		table.At(rollout.Baseline, 0).FinishedHalves = gateway.peerFinishedHalves
+		gateway.balancer.EvidenceReceived(&EvidenceReport{Sender: i, CountedAt: gateway.now, Build: max(gateway.balancer.rollout.build, 1), Counters: table.Encode()}, gateway.now)
+	}
+}
+
+// wait asks for the chores, carries out those on commands and gives the rest back.
+func (gateway *testGateway) tick() DueWork {
+	_, due := gateway.balancer.Tick(gateway.now)
+	for _, request := range due.Requests {
+		gateway.carryOut(request, gateway.balancer.Route(request, gateway.now))
+	}
+	for _, attempt := range due.CancelAttempts {
+		if gateway.draw(2) == 0 {
+			gateway.finish(attempt, OutcomeCanceled)
+		}
+	}
+	return due
+}
