--- a/decision/admission/queue.go
+++ b/decision/admission/queue.go
@@ -33,11 +33,5 @@
 // Len returns how many requests are queued.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// All yields the place and the request of each entry, first in the queue first. The queue must not change meanwhile.
-func (q *Queue[T]) All(yield func(place int, request T) bool) {
-	for i := range q.entries {
-		if !yield(i, q.entries[i].request) {
-			return
-		}
-	}
-}
+// At returns the request at a place, which is below Len; the first in the queue is at 0.
+func (q *Queue[T]) At(place int) T { return q.entries[place].request }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -171,7 +171,8 @@
 // dueRequests returns the head of the queue, and the queued requests whose time is about to run out.
 func (lb *Balancer) dueRequests(now monotonic.Time) []*Request {
 	var due []*Request
-	for place, request := range lb.admission.queue.All {
+	for place := range lb.admission.queue.Len() {
+		request := lb.admission.queue.At(place)
 		if place < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+expiryMarginTick*lb.tick {
 			due = append(due, request)
 		}
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -25,33 +25,36 @@
 // candidates returns the endpoints that may get an attempt of a request. Suspect ones are among them only while no healthy
 // one may serve it, full or not, and each only now and then: an endpoint that fails fast is never full and would get all.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
-	var found candidates
+	var canary, stable, suspect []*Endpoint // local, so that the compiler keeps the short ones off the heap
 	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
 	stableInFlight, stablePower := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
-		canary := lb.isCanary(endpoint.build)
-		if canary && !mayUseCanary || !lb.mayAttempt(request, endpoint, now) {
+		isCanary := lb.isCanary(endpoint.build)
+		if isCanary && !mayUseCanary || !lb.mayAttempt(request, endpoint, now) {
 			continue
 		}
-		room := endpoint.limit.allows(len(endpoint.inFlight)) && !(canary && !lb.withinCanaryShare(endpoint, stableInFlight, stablePower, now))
+		room := endpoint.limit.allows(len(endpoint.inFlight)) &&
+			!(isCanary && !lb.withinCanaryShare(endpoint, stableInFlight, stablePower, now))
 		healthy := !lb.isSuspect(endpoint, now) && !lb.onProbationFor(request, endpoint, now)
 		switch {
 		case healthy && !room:
 			full = true
-		case healthy && canary:
-			found.canary = append(found.canary, endpoint)
+		case healthy && isCanary:
+			canary = append(canary, endpoint)
 		case healthy:
-			found.stable = append(found.stable, endpoint)
+			stable = append(stable, endpoint)
 		case room && lb.mayProbe(request, endpoint, now):
-			found.suspect = append(found.suspect, endpoint)
+			suspect = append(suspect, endpoint)
 		}
 	}
 	if full {
-		found.suspect = nil
+		suspect = nil
+	}
+	return candidates{
+		canary:  lb.preferHealthyZones(lb.preferResponsive(canary, now), now),
+		stable:  lb.preferHealthyZones(lb.preferResponsive(stable, now), now),
+		suspect: suspect,
 	}
-	found.canary = lb.preferHealthyZones(lb.preferResponsive(found.canary, now), now)
-	found.stable = lb.preferHealthyZones(lb.preferResponsive(found.stable, now), now)
-	return found
 }
 
 // onProbationFor reports whether an endpoint that failed lately is not to get a request that must not execute twice.
