--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -134,7 +134,7 @@
 		}
 		defer kept.Close()
 		defer client.Close()
-		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.Busy() }, func(build int, so bool) { r.Vouched(build, so) })
+		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.HasQueuedRequests() }, func(build int, so bool) { r.BuildVerified(build, so) })
 		if operator.Builds != "" {
 			gateway.RequireVerifiedBuilds()
 			build = agent.Build
@@ -142,18 +142,18 @@
 	}
 	var discovery *transport.Discovery
 	var desk *transport.Desk
-	r = routing.New(gateway, busy, clock, routing.Outside{
-		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
-			ended func(protocol.Response)) routing.Delivery {
+	r = routing.New(gateway, busy, clock, routing.Drivers{
+		StartAttempt: func(address string, until time.Time, encode func(time.Duration) []byte,
+			ended func(protocol.Response)) routing.AttemptHandle {
 			return instances.Send(address, until, encode, ended)
 		},
-		Drop:  instances.Drop,
-		Post:  post,
-		Vote:  func(v decision.Vote) { desk.Vote(v) },
-		Watch: func() { discovery.Watch(ctx) },
-		Build: build,
+		CloseIdleConnections: instances.Drop,
+		SendDatagram:         post,
+		CastVote:             func(v decision.Vote) { desk.Vote(v) },
+		PollDiscovery:        func() { discovery.Watch(ctx) },
+		VerifyBuild:          build,
 	})
-	desk = transport.NewDesk(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
+	desk = transport.NewDesk(deskAt, voteWithin, r.RolloutStatusReceived, r.VoteAnswered, func(address string, why error) {
 		if why == nil {
 			log.Info("the platform is heard", "address", address)
 		} else {
@@ -168,14 +168,14 @@
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
-	r.News(status)
-	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
+	r.RolloutStatusReceived(status)
+	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.DiscoveryResponseStarted, func(text []byte, anew bool) (int64, error) {
 		list, err := protocol.ReadList(text, zones, models)
 		if err != nil {
 			return 0, err
 		}
-		return r.Listed(list, false, anew)
-	}, r.ListFailed, lots)
+		return r.EndpointListReceived(list, false, anew)
+	}, r.DiscoveryFailed, lots)
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -183,10 +183,10 @@
 	defer ln.Close()
 	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
 		func(request protocol.Request, to *transport.Answer) {
-			r.Command(request, to)
-		}, func(to *transport.Answer) { r.Gone(to) })
+			r.RequestArrived(request, to)
+		}, func(to *transport.Answer) { r.ClientDisconnected(to) })
 	go r.Run(ctx)
-	if _, err := r.Listed(startList, true, false); err != nil {
+	if _, err := r.EndpointListReceived(startList, true, false); err != nil {
 		return err
 	}
 	go desk.Run(ctx)
@@ -199,7 +199,7 @@
 		go discovery.Keep(ctx)
 	}
 	if peers != nil {
-		go peers.Run(r.Heard, complaints)
+		go peers.Run(r.DatagramReceived, complaints)
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- front.Serve(ln) }()
@@ -215,7 +215,7 @@
 			} else {
 				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
 				if discovery.Move(listAt) {
-					r.ListMoved()
+					r.DiscoveryMoved()
 				}
 				desk.Move(votesAt)
 			}
@@ -231,7 +231,7 @@
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
 			answered := min(longest, killedAfter) - killMargin
-			r.Ending(servesOn + answered)
+			r.ShutdownWithin(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
 				front.Drain()
--- a/decision/gossip/assembly.go
+++ b/decision/gossip/assembly.go
@@ -54,7 +54,7 @@
 }
 
 // Split divides a view into parts of so many incarnations at most. One of no incarnations is one part.
-func Split(revision int64, age time.Duration, ready []uint32, each int) []View {
+func SplitView(revision int64, age time.Duration, ready []uint32, each int) []View {
 	parts := max(1, (len(ready)+each-1)/each)
 	if parts > partsMost {
 		return nil
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -50,7 +50,7 @@
 const crowdOver = 2 * s
 
 // ToAll is the number that stands for all gateways.
-const ToAll = -1
+const AllGateways = -1
 
 // none stands for no gateway.
 const none = -1
@@ -73,25 +73,25 @@
 // Reply is due to be sent: the list's revision as confirmed so long ago, to one gateway or to all, with the ready
 // incarnations or without.
 type Reply struct {
-	To       int
-	Revision int64
-	Age      time.Duration
-	Whole    bool
+	To           int
+	Revision     int64
+	Age          time.Duration
+	IncludeReady bool
 }
 
 // Due is what a gateway is to send now.
 type Due struct {
-	Queried []int // gateways that are asked
-	Query   Query
-	Replies []Reply
+	QueryRecipients []int // gateways that are asked
+	Query           Query
+	Replies         []Reply
 }
 
 // Learned is what a peer's view has brought. Without an incarnation among Ready, where that is not nil, an instance of
 // an older revision has drained or gone.
-type Learned struct {
-	Revision int64
-	At       monotonic.Time // the moment for which it holds
-	Ready    map[uint32]bool
+type LearnedView struct {
+	Revision    int64
+	ConfirmedAt monotonic.Time // the moment for which it holds
+	Ready       map[uint32]bool
 }
 
 // Incarnation numbers an instance as it was started with a build: after a restart, or with another build, it is another.
@@ -162,13 +162,13 @@
 func NewExchange(rank, peers int, revision int64, draw func(below int64) int64, now monotonic.Time) *Exchange {
 	e := &Exchange{rank: rank, peers: peers, draw: draw, held: revision, known: revision, currentAt: now - startAge,
 		source: none}
-	e.Unconfirmed(now)
+	e.DiscoveryLost(now)
 	return e
 }
 
 // Confirmed tells that discovery has answered, with the revision that is now held. It tells whether the list is so
 // current: not while a peer's view is of a newer revision, unless discovery counts anew.
-func (e *Exchange) Confirmed(revision int64, anew bool, now monotonic.Time) bool {
+func (e *Exchange) DiscoveryConfirmed(revision int64, anew bool, now monotonic.Time) bool {
 	e.following, e.confirmedAt, e.held = true, now, revision
 	if revision < e.known && !anew && now-e.currentAt < ahead {
 		return false
@@ -178,7 +178,7 @@
 }
 
 // Unconfirmed tells that no watch of discovery stands: a call has failed, or discovery has moved.
-func (e *Exchange) Unconfirmed(now monotonic.Time) {
+func (e *Exchange) DiscoveryLost(now monotonic.Time) {
 	if e.following || e.queryAt == 0 {
 		e.queryAt = now + e.jitter(queryFirst)
 	}
@@ -191,7 +191,7 @@
 }
 
 // Queried takes a peer's query in.
-func (e *Exchange) Queried(from int, q Query, now monotonic.Time) {
+func (e *Exchange) QueryReceived(from int, q Query, now monotonic.Time) {
 	e.queries = e.faded(now) + 1
 	e.heardAt = now
 	newer := e.held > q.Revision || e.held == q.Revision && now-e.confirmedAt+newerBy < q.Age
@@ -219,7 +219,7 @@
 // replyToAll has a reply go to all gateways, for this query as well.
 func (e *Exchange) replyToAll(whole bool, now monotonic.Time) {
 	if e.all == nil {
-		e.all = &request{to: ToAll, dueAt: now + e.jitter(replyWithin)}
+		e.all = &request{to: AllGateways, dueAt: now + e.jitter(replyWithin)}
 	}
 	if whole || !e.all.whole {
 		e.all.whole, e.all.askedAt = whole, now
@@ -228,7 +228,7 @@
 
 // Crowd estimates which share of the gateways goes without discovery at present, from 0 to 1: each of them queries a few
 // peers drawn at random, again and again, so that the queries heard tell how many there are.
-func (e *Exchange) Crowd(now monotonic.Time) float64 {
+func (e *Exchange) UnansweredShare(now monotonic.Time) float64 {
 	if e.peers < 2 {
 		return 0
 	}
@@ -241,7 +241,7 @@
 }
 
 // Told takes a peer's view in. It gives what was learned, or nil.
-func (e *Exchange) Told(from int, v View, now monotonic.Time) *Learned {
+func (e *Exchange) ViewReceived(from int, v View, now monotonic.Time) *LearnedView {
 	at := now - max(v.Age, 0)
 	if v.Revision >= e.held {
 		e.heard = confirmation{v.Revision, now, v.Parts > 0}
@@ -251,7 +251,7 @@
 	}
 	if v.Revision == e.known {
 		e.currentAt = at
-		return &Learned{Revision: v.Revision, At: at}
+		return &LearnedView{Revision: v.Revision, ConfirmedAt: at}
 	}
 	ready := e.parts.add(from, v)
 	if ready == nil { // parts are missing, or it was meant for others: its sender is asked
@@ -262,15 +262,15 @@
 		return nil
 	}
 	e.known, e.currentAt, e.source = v.Revision, at, none
-	return &Learned{Revision: v.Revision, At: at, Ready: ready}
+	return &LearnedView{Revision: v.Revision, ConfirmedAt: at, Ready: ready}
 }
 
 // Next gives what is to be sent now, and how long it may take until it is asked again.
-func (e *Exchange) Next(now monotonic.Time) (Due, time.Duration) {
+func (e *Exchange) Tick(now monotonic.Time) (Due, time.Duration) {
 	due, wait := Due{}, 10*s
 	if !e.fresh(now) {
 		if now >= e.queryAt {
-			due.Queried = e.drawPeers()
+			due.QueryRecipients = e.drawPeers()
 			due.Query = Query{Revision: e.known, Age: now - e.currentAt}
 			e.queryAt = now + queryEvery + e.jitter(queryEvery)
 		}
@@ -294,7 +294,7 @@
 	if e.all != nil && now >= e.all.dueAt {
 		if reply, ok := e.reply(e.all, now); ok {
 			due = append(due, reply)
-			e.heard = confirmation{e.held, now, reply.Whole}
+			e.heard = confirmation{e.held, now, reply.IncludeReady}
 		}
 		e.all = nil
 	}
@@ -315,7 +315,7 @@
 	if !e.fresh(now) || e.heard.serves(one, e.held) {
 		return Reply{}, false
 	}
-	return Reply{To: one.to, Revision: e.held, Age: now - e.confirmedAt, Whole: one.whole}, true
+	return Reply{To: one.to, Revision: e.held, Age: now - e.confirmedAt, IncludeReady: one.whole}, true
 }
 
 // drawPeers draws a few other gateways, beside the one that is known to hold a newer revision.
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -48,7 +48,7 @@
 
 // Listed tells an answer of discovery, or the list as it was known at the start; it gives the revision. A list that was
 // asked for anew, from no revision on, may be of an older one than held: discovery came back with what it had before.
-func (r *Router) Listed(list *protocol.List, cached, anew bool) (revision int64, err error) {
+func (r *Router) EndpointListReceived(list *protocol.List, cached, anew bool) (revision int64, err error) {
 	done := make(chan error, 1)
 	r.events <- func(now monotonic.Time) { done <- r.takeList(list, cached, anew, now) }
 	return list.Revision, <-done
@@ -60,7 +60,7 @@
 		return protocol.ErrOlder
 	}
 	r.list.revision = list.Revision
-	current := cached || r.list.exchange == nil || r.list.exchange.Confirmed(list.Revision, anew, now)
+	current := cached || r.list.exchange == nil || r.list.exchange.DiscoveryConfirmed(list.Revision, anew, now)
 	caughtUp := current && r.dropView(anew)
 	named := map[*decision.Endpoint]bool{}
 	for _, member := range list.Members {
@@ -74,7 +74,7 @@
 	if caughtUp {
 		r.recall(now)
 	}
-	r.gateway.CommitEndpointList(cached, now)
+	r.balancer.CommitEndpointList(cached, now)
 	if !cached {
 		r.confirmed(current, now)
 	}
@@ -86,7 +86,7 @@
 // takeMember tells the module one entry.
 func (r *Router) takeMember(i *instance, member protocol.Member, now monotonic.Time) {
 	if was := i.listed.Address; was != "" && was != member.Address || !member.Present {
-		r.outside.Drop(was)
+		r.drivers.CloseIdleConnections(was)
 	}
 	// What drained or went by a newer list stays so, until it starts anew or discovery has counted beyond.
 	if member.Ready && i.down > r.list.revision && i.listed.StartedAt == member.StartedAt && i.listed.Build == member.Build {
@@ -110,7 +110,7 @@
 
 func (r *Router) tellInstance(i *instance, now monotonic.Time) {
 	m := &i.listed
-	r.gateway.UpdateEndpoint(i.it, decision.EndpointStatus{
+	r.balancer.UpdateEndpoint(i.it, decision.EndpointStatus{
 		Ready:       i.ready(),
 		Present:     m.Present,
 		Build:       m.Build,
@@ -124,12 +124,12 @@
 
 // takeOnly tells the module that no others than those named are listed.
 func (r *Router) takeOnly(named map[*decision.Endpoint]bool, now monotonic.Time) {
-	r.gateway.RetainEndpoints(named, now)
+	r.balancer.RetainEndpoints(named, now)
 	for _, i := range r.instances {
 		if !named[i.it] && i.goneAt == 0 {
 			i.goneAt, i.down = now, max(i.down, r.list.revision)
 			i.listed.Ready, i.listed.Present = false, false
-			r.outside.Drop(i.listed.Address)
+			r.drivers.CloseIdleConnections(i.listed.Address)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	}
 	l.confirmedAt, l.failures = now, 0
 	if current {
-		r.gateway.EndpointListConfirmed(now)
+		r.balancer.EndpointListConfirmed(now)
 	}
 }
 
@@ -191,34 +191,34 @@
 
 // ListFailed tells that the list could not be asked, or that its watch broke. An answer that began and did not come
 // whole may have told of drains.
-func (r *Router) ListFailed(err error) {
+func (r *Router) DiscoveryFailed(err error) {
 	r.events <- func(now monotonic.Time) {
 		l := &r.list
 		l.failures++
 		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failures,
 			"unconfirmed", r.unconfirmed(now))
 		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.Begun {
-			r.gateway.DiscoveryResponseBroken(now)
+			r.balancer.DiscoveryResponseBroken(now)
 		}
 		if l.exchange != nil {
-			l.exchange.Unconfirmed(now)
-			r.gateway.UnansweredShareEstimated(l.exchange.Crowd(now))
+			l.exchange.DiscoveryLost(now)
+			r.balancer.UnansweredShareEstimated(l.exchange.UnansweredShare(now))
 		}
-		r.gateway.DiscoveryFailed(now)
+		r.balancer.DiscoveryFailed(now)
 	}
 }
 
 // ListBegun tells that an answer of discovery has begun to come.
-func (r *Router) ListBegun() {
-	r.events <- func(now monotonic.Time) { r.gateway.DiscoveryResponseStarted(now) }
+func (r *Router) DiscoveryResponseStarted() {
+	r.events <- func(now monotonic.Time) { r.balancer.DiscoveryResponseStarted(now) }
 }
 
 // ListMoved tells that discovery is asked at another address from now on.
-func (r *Router) ListMoved() {
+func (r *Router) DiscoveryMoved() {
 	r.events <- func(now monotonic.Time) {
-		r.gateway.DiscoveryMoved(now)
+		r.balancer.DiscoveryMoved(now)
 		if r.list.exchange != nil {
-			r.list.exchange.Unconfirmed(now)
+			r.list.exchange.DiscoveryLost(now)
 		}
 	}
 }
@@ -226,21 +226,21 @@
 // heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
 func (r *Router) heardOfList(from int, text []byte, now monotonic.Time) bool {
 	if query, ok := protocol.UnpackQuery(text); ok {
-		r.list.exchange.Queried(from, query, now)
+		r.list.exchange.QueryReceived(from, query, now)
 		return true
 	}
 	view, ok := protocol.UnpackView(text)
 	if !ok {
 		return false
 	}
-	if learned := r.list.exchange.Told(from, view, now); learned != nil {
+	if learned := r.list.exchange.ViewReceived(from, view, now); learned != nil {
 		r.learn(learned, now)
 	}
 	return true
 }
 
 // learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) learn(learned *gossip.Learned, now monotonic.Time) {
+func (r *Router) learn(learned *gossip.LearnedView, now monotonic.Time) {
 	if learned.Ready != nil {
 		r.list.ahead = &peerView{learned.Revision, learned.Ready}
 		departed := 0
@@ -250,7 +250,7 @@
 			}
 			if i.departed = !i.departed; i.departed {
 				departed++
-				r.outside.Drop(i.listed.Address)
+				r.drivers.CloseIdleConnections(i.listed.Address)
 			}
 			r.tellInstance(i, now)
 		}
@@ -258,26 +258,26 @@
 			"departed", departed)
 		r.withhold(now)
 	}
-	r.gateway.EndpointListConfirmed(learned.At)
+	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
 }
 
 // exchangeViews sends what is due between gateways about the list, and gives how long to wait.
 func (r *Router) exchangeViews(now monotonic.Time) time.Duration {
-	due, wait := r.list.exchange.Next(now)
-	for _, to := range due.Queried {
-		r.outside.Post(to, protocol.PackQuery(due.Query))
+	due, wait := r.list.exchange.Tick(now)
+	for _, to := range due.QueryRecipients {
+		r.drivers.SendDatagram(to, protocol.PackQuery(due.Query))
 	}
 	var ready []uint32
 	for _, reply := range due.Replies {
-		if !reply.Whole {
-			r.outside.Post(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
+		if !reply.IncludeReady {
+			r.drivers.SendDatagram(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
 			continue
 		}
 		if ready == nil {
 			ready = r.readyIncarnations()
 		}
-		for _, view := range gossip.Split(reply.Revision, reply.Age, ready, protocol.ViewEach) {
-			r.outside.Post(reply.To, protocol.PackView(view))
+		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.ViewEach) {
+			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
 		}
 	}
 	return wait
@@ -297,7 +297,7 @@
 
 // logTrust tells when the list is no longer gone by, and when it is again.
 func (r *Router) logTrust(now monotonic.Time) {
-	trusted := r.gateway.EndpointListTrusted(now)
+	trusted := r.balancer.EndpointListTrusted(now)
 	if trusted == r.list.trusted {
 		return
 	}
--- a/internal/transport/instances.go
+++ b/internal/transport/instances.go
@@ -96,7 +96,7 @@
 // elsewhere after it is no second copy. It tells whether the delivery may have reached the instance, and
 // whether it had ended before: then its outcome is on its way. The connection of one that had not begun serves
 // another.
-func (s *Sending) GiveUp() (reached, ended bool) {
+func (s *Sending) Cancel() (reached, ended bool) {
 	s.mu.Lock()
 	l, begun, was := s.on, s.begun, s.over
 	s.over = true
