--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -142,17 +142,26 @@
 	}
 	var discovery *transport.Discovery
 	var desk *transport.Desk
-	r = routing.New(gateway, busy, clock, routing.Drivers{
-		StartAttempt: func(address string, until time.Time, encode func(time.Duration) []byte,
-			ended func(protocol.Response)) routing.AttemptHandle {
-			return instances.Send(address, until, encode, ended)
+	var exchange *gossip.Exchange
+	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
+		exchange = gossip.NewExchange(gossip.Config{Rank: rank, Gateways: many, Revision: startList.Revision,
+			Random: seededrand.New(seed).Below}, clock())
+	}
+	drivers := routing.Drivers{
+		StartAttempt: func(attempt routing.AttemptRequest) routing.AttemptHandle {
+			return instances.Send(attempt.Address, attempt.Deadline, attempt.Encode, attempt.Finished)
 		},
 		CloseIdleConnections: instances.Drop,
 		SendDatagram:         post,
 		CastVote:             func(v decision.Vote) { desk.Vote(v) },
 		PollDiscovery:        func() { discovery.Watch(ctx) },
 		VerifyBuild:          build,
-	})
+	}
+	r, err = routing.New(routing.Config{Balancer: gateway, UtilizationField: busy, Clock: clock, Drivers: drivers,
+		Gossip: exchange})
+	if err != nil {
+		return err
+	}
 	desk = transport.NewDesk(deskAt, voteWithin, r.RolloutStatusReceived, r.VoteAnswered, func(address string, why error) {
 		if why == nil {
 			log.Info("the platform is heard", "address", address)
@@ -161,9 +170,6 @@
 		}
 	}, lots)
 	gateway.StartLease(clock())
-	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
-	}
 	status, err := protocol.ParseRolloutStatus(news)
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
@@ -174,7 +180,7 @@
 		if err != nil {
 			return 0, err
 		}
-		return r.EndpointListReceived(list, false, anew)
+		return list.Revision, r.EndpointListReceived(routing.EndpointListUpdate{List: list, Full: anew})
 	}, r.DiscoveryFailed, lots)
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -186,7 +192,7 @@
 			r.RequestArrived(request, to)
 		}, func(to *transport.Answer) { r.ClientDisconnected(to) })
 	go r.Run(ctx)
-	if _, err := r.EndpointListReceived(startList, true, false); err != nil {
+	if err := r.EndpointListReceived(routing.EndpointListUpdate{List: startList, Cached: true}); err != nil {
 		return err
 	}
 	go desk.Run(ctx)
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -157,11 +157,18 @@
 	return c.heardAt > one.askedAt-heardBefore
 }
 
-// NewExchange takes the gateway's number, how many gateways there are, the revision of the list it starts with, a
-// source of seeded chance, and the present moment.
-func NewExchange(rank, peers int, revision int64, draw func(below int64) int64, now monotonic.Time) *Exchange {
-	e := &Exchange{rank: rank, peers: peers, draw: draw, held: revision, known: revision, currentAt: now - startAge,
-		source: none}
+// Config is what a gateway's exchange is built from.
+type Config struct {
+	Rank     int                     // this gateway's rank among all gateways, from 0 on
+	Gateways int                     // how many gateways there are, this one included
+	Revision int64                   // of the endpoint list that the gateway starts with
+	Random   func(limit int64) int64 // a seeded random number from 0 on, below the limit
+}
+
+// NewExchange returns the exchange of a gateway that starts now, without an answer of discovery.
+func NewExchange(config Config, now monotonic.Time) *Exchange {
+	e := &Exchange{rank: config.Rank, peers: config.Gateways, draw: config.Random, held: config.Revision,
+		known: config.Revision, currentAt: now - startAge, source: none}
 	e.DiscoveryLost(now)
 	return e
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -43,19 +43,26 @@
 	ahead       *peerView // nil where no peer's view is newer
 }
 
-// Share has this gateway exchange views of the list with its peers. It is called before Run.
-func (r *Router) Share(exchange *gossip.Exchange) { r.list.exchange = exchange }
+// EndpointListUpdate is an answer of discovery, or the endpoint list that the gateway starts with.
+type EndpointListUpdate struct {
+	List   *protocol.List
+	Cached bool // the list that the gateway starts with, which no discovery has confirmed
+	// Full is set where discovery was asked without a revision. The answer may then be of an older revision than the
+	// one held, as discovery may have returned with an earlier state.
+	Full bool
+}
 
-// Listed tells an answer of discovery, or the list as it was known at the start; it gives the revision. A list that was
-// asked for anew, from no revision on, may be of an older one than held: discovery came back with what it had before.
-func (r *Router) EndpointListReceived(list *protocol.List, cached, anew bool) (revision int64, err error) {
+// EndpointListReceived takes an endpoint list in and waits until that is done. It returns protocol.ErrOlder where the
+// list is older than the one held.
+func (r *Router) EndpointListReceived(update EndpointListUpdate) error {
 	done := make(chan error, 1)
-	r.events <- func(now monotonic.Time) { done <- r.takeList(list, cached, anew, now) }
-	return list.Revision, <-done
+	r.events <- func(now monotonic.Time) { done <- r.takeList(update, now) }
+	return <-done
 }
 
 // takeList tells the module a list, unless it is older than the one held: that would undo drains that were told.
-func (r *Router) takeList(list *protocol.List, cached, anew bool, now monotonic.Time) error {
+func (r *Router) takeList(update EndpointListUpdate, now monotonic.Time) error {
+	list, cached, anew := update.List, update.Cached, update.Full
 	if list.Revision < r.list.revision && !(anew && list.Whole) {
 		return protocol.ErrOlder
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -5,6 +5,7 @@
 import (
 	"container/heap"
 	"context"
+	"errors"
 	"hash/fnv"
 	"log/slog"
 	"slices"
@@ -12,36 +13,79 @@
 	"time"
 
 	"laurelring/decision"
+	"laurelring/decision/gossip"
 	"laurelring/decision/monotonic"
 	"laurelring/internal/protocol"
 )
 
-// Client is the place of a command's final answer. None of its calls waits.
+// Client is the destination of a request's final answer. Exactly one of its methods is called, once, unless the client
+// disconnects first. None of them may block.
 type Client interface {
 	Respond(value []byte)
-	Reject(after monotonic.Time)
-	Fail()
+	Reject(retryAfter time.Duration) // the request never ran; 0 gives no advice on when to retry
+	Fail()                           // the request may have run
 }
 
-// Delivery is one that is out. GiveUp ends it without an outcome and tells whether it may have reached its
-// instance, and whether it had ended before: then its outcome comes by itself. Withhold ends it without one if
-// nothing of it has gone out, and tells whether it did.
+// AttemptHandle controls an attempt that has been started.
 type AttemptHandle interface {
-	Cancel() (reached, ended bool)
+	// Cancel ends the attempt without an outcome. It reports whether the request may have reached the endpoint, and
+	// whether the attempt had already finished: then its outcome arrives by itself.
+	Cancel() (reachedEndpoint, alreadyFinished bool)
+	// Withhold cancels the attempt if nothing of it has been sent, and reports whether it did.
 	Withhold() bool
-	// ConnectionAge is for how long the connection has stood that the delivery went out on.
+	// ConnectionAge is the age of the connection that the attempt was sent on.
 	ConnectionAge() time.Duration
 }
 
-// Outside is what the router has done by others. None of its calls waits.
+// AttemptRequest describes an attempt to start.
+type AttemptRequest struct {
+	Address  string    // of the endpoint
+	Deadline time.Time // until when the router waits for an outcome
+	// Encode gives the request's bytes, given the time that remains as they are sent.
+	Encode func(remaining time.Duration) []byte
+	// Finished is to be called once with the outcome, on another goroutine than the router's, unless the attempt was
+	// canceled or withheld before.
+	Finished func(protocol.Response)
+}
+
+// Drivers do the router's I/O. All but VerifyBuild are required, and none may block.
 type Drivers struct {
-	StartAttempt func(address string, until time.Time, encode func(wait time.Duration) []byte,
-		ended func(protocol.Response)) AttemptHandle
+	StartAttempt func(AttemptRequest) AttemptHandle
+	// CloseIdleConnections closes the idle connections to an address that is no longer listed.
 	CloseIdleConnections func(address string)
-	SendDatagram         func(to int, text []byte) // to all gateways where the number is below 0
-	CastVote             func(decision.Vote)
-	PollDiscovery        func()
-	VerifyBuild          func(build int) // the list names a build that it has not named for long; may be nil
+	// SendDatagram sends a datagram to the gateway of that rank, or to all gateways where the rank is negative.
+	SendDatagram func(rank int, datagram []byte)
+	// CastVote casts a vote at the rollout controller; VoteAnswered is to be called with its outcome.
+	CastVote func(decision.Vote)
+	// PollDiscovery watches the endpoint list from here on, unless a watch is already established.
+	PollDiscovery func()
+	// VerifyBuild is given each build as it is first listed; BuildVerified is to be called with the result. Nil where
+	// builds are not verified.
+	VerifyBuild func(build int)
+}
+
+// Config is what a router is built from.
+type Config struct {
+	Balancer         *decision.Balancer
+	UtilizationField string                // the field of a load report that gives an endpoint's utilization
+	Clock            func() monotonic.Time // whole nanoseconds; it must not go back
+	Drivers          Drivers
+	Gossip           *gossip.Exchange // nil where gateways exchange no views of the endpoint list
+}
+
+// validate reports what a configuration lacks.
+func (c *Config) validate() error {
+	drivers := &c.Drivers
+	switch {
+	case c.Balancer == nil:
+		return errors.New("routing: no balancer")
+	case c.Clock == nil:
+		return errors.New("routing: no clock")
+	case drivers.StartAttempt == nil || drivers.CloseIdleConnections == nil || drivers.SendDatagram == nil ||
+		drivers.CastVote == nil || drivers.PollDiscovery == nil:
+		return errors.New("routing: a required driver is missing")
+	}
+	return nil
 }
 
 const (
@@ -100,12 +144,16 @@
 	at     int // in the timers
 }
 
-// New makes a router of a gateway; the clock gives whole nanoseconds and never goes back.
-func New(g *decision.Balancer, busy string, clock func() monotonic.Time, outside Drivers) *Router {
-	return &Router{balancer: g, busy: busy, drivers: outside, clock: clock, events: make(chan func(time.Duration), eventsMost), done: make(chan struct{}),
+// New returns a router. Its methods may be called at once; events are processed once Run is called.
+func New(config Config) (*Router, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	return &Router{balancer: config.Balancer, busy: config.UtilizationField, drivers: config.Drivers, clock: config.Clock,
+		events: make(chan func(time.Duration), eventsMost), done: make(chan struct{}),
 		commands: map[*decision.Request]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
 		instances: map[string]*instance{}, numbered: map[uint32]*decision.Endpoint{},
-		known: map[*decision.Endpoint]*instance{}, trace: newTrace(), list: lists{trusted: true}}
+		known: map[*decision.Endpoint]*instance{}, trace: newTrace(), list: lists{trusted: true, exchange: config.Gossip}}, nil
 }
 
 // Run tells, asks and obeys until the context ends.
@@ -295,10 +343,14 @@
 		heap.Push(&r.due, f)
 		to := r.known[d.Endpoint]
 		r.trace.sent(c.id, to, r.list.revision, d.Attempt.Number)
-		f.on = r.drivers.StartAttempt(to.listed.Address, time.Now().Add(time.Duration(d.Timeout)), c.words,
-			func(response protocol.Response) {
+		f.on = r.drivers.StartAttempt(AttemptRequest{
+			Address:  to.listed.Address,
+			Deadline: time.Now().Add(d.Timeout),
+			Encode:   c.words,
+			Finished: func(response protocol.Response) {
 				r.events <- func(now monotonic.Time) { r.ended(f, response, now) }
-			})
+			},
+		})
 	case decision.ActionReject:
 		if c.client != nil {
 			r.trace.answered(c.id, "refused", d.Reason)
