--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -13,19 +13,19 @@
 )
 
 // instance is one that the list has named.
-type instance struct {
-	it     *decision.Endpoint
-	number uint32          // of its id, in messages between gateways
-	listed protocol.Member // as discovery last listed it
-	goneAt monotonic.Time  // when it went; 0 while it is listed
+type endpointRecord struct {
+	endpoint  *decision.Endpoint
+	hash      uint32          // of its id, in messages between gateways
+	listed    protocol.Member // as discovery last listed it
+	removedAt monotonic.Time  // when it went; 0 while it is listed
 
-	down        int64 // the newest revision by which it drained or was gone
-	departed    bool  // a peer's view of a newer revision lacks it
-	incarnation uint32
+	downRevision       int64 // the newest revision by which it drained or was gone
+	departedByPeerView bool  // a peer's view of a newer revision lacks it
+	incarnation        uint32
 }
 
 // ready tells whether the instance may be told to the module as one that takes commands.
-func (i *instance) ready() bool { return i.listed.Ready && !i.departed }
+func (i *endpointRecord) ready() bool { return i.listed.Ready && !i.departedByPeerView }
 
 // peerView is a peer's view of a revision that discovery has not told this gateway yet.
 type peerView struct {
@@ -34,13 +34,13 @@
 }
 
 // lists is how the router takes in what discovery and peers tell of the list.
-type lists struct {
-	revision    int64          // of the list held
-	confirmedAt monotonic.Time // when discovery last confirmed it; 0 before it first has
-	failures    int            // calls that have failed since
-	trusted     bool           // the module goes by the list, for the log
-	exchange    *gossip.Exchange
-	ahead       *peerView // nil where no peer's view is newer
+type endpointListState struct {
+	revision      int64          // of the list held
+	confirmedAt   monotonic.Time // when discovery last confirmed it; 0 before it first has
+	failedCalls   int            // calls that have failed since
+	loggedTrusted bool           // the module goes by the list, for the log
+	exchange      *gossip.Exchange
+	newerView     *peerView // nil where no peer's view is newer
 }
 
 // EndpointListUpdate is an answer of discovery, or the endpoint list that the gateway starts with.
@@ -56,68 +56,68 @@
 // list is older than the one held.
 func (r *Router) EndpointListReceived(update EndpointListUpdate) error {
 	done := make(chan error, 1)
-	r.events <- func(now monotonic.Time) { done <- r.takeList(update, now) }
+	r.events <- func(now monotonic.Time) { done <- r.applyEndpointList(update, now) }
 	return <-done
 }
 
 // takeList tells the module a list, unless it is older than the one held: that would undo drains that were told.
-func (r *Router) takeList(update EndpointListUpdate, now monotonic.Time) error {
+func (r *Router) applyEndpointList(update EndpointListUpdate, now monotonic.Time) error {
 	list, cached, anew := update.List, update.Cached, update.Full
-	if list.Revision < r.list.revision && !(anew && list.Whole) {
+	if list.Revision < r.endpointList.revision && !(anew && list.Whole) {
 		return protocol.ErrOlder
 	}
-	r.list.revision = list.Revision
-	current := cached || r.list.exchange == nil || r.list.exchange.DiscoveryConfirmed(list.Revision, anew, now)
-	caughtUp := current && r.dropView(anew)
+	r.endpointList.revision = list.Revision
+	current := cached || r.endpointList.exchange == nil || r.endpointList.exchange.DiscoveryConfirmed(list.Revision, anew, now)
+	caughtUp := current && r.discardPeerView(anew)
 	named := map[*decision.Endpoint]bool{}
 	for _, member := range list.Members {
-		i := r.instance(member.ID)
-		named[i.it] = true
-		r.takeMember(i, member, now)
+		i := r.endpointRecord(member.ID)
+		named[i.endpoint] = true
+		r.applyMember(i, member, now)
 	}
 	if list.Whole {
-		r.takeOnly(named, now)
+		r.removeUnlisted(named, now)
 	}
 	if caughtUp {
-		r.recall(now)
+		r.restoreDeparted(now)
 	}
 	r.balancer.CommitEndpointList(cached, now)
 	if !cached {
-		r.confirmed(current, now)
+		r.listConfirmed(current, now)
 	}
-	r.withhold(now)
-	r.forget(now)
+	r.withholdDisallowed(now)
+	r.forgetRemoved(now)
 	return nil
 }
 
 // takeMember tells the module one entry.
-func (r *Router) takeMember(i *instance, member protocol.Member, now monotonic.Time) {
+func (r *Router) applyMember(i *endpointRecord, member protocol.Member, now monotonic.Time) {
 	if was := i.listed.Address; was != "" && was != member.Address || !member.Present {
 		r.drivers.CloseIdleConnections(was)
 	}
 	// What drained or went by a newer list stays so, until it starts anew or discovery has counted beyond.
-	if member.Ready && i.down > r.list.revision && i.listed.StartedAt == member.StartedAt && i.listed.Build == member.Build {
+	if member.Ready && i.downRevision > r.endpointList.revision && i.listed.StartedAt == member.StartedAt && i.listed.Build == member.Build {
 		member.Ready = false
 	}
 	if !member.Present { // a removed entry may lack the rest
 		member.StartedAt, member.Build = i.listed.StartedAt, i.listed.Build
 	}
-	i.listed, i.goneAt = member, 0
+	i.listed, i.removedAt = member, 0
 	i.incarnation = gossip.Incarnation(member.ID, member.StartedAt, member.Build)
-	i.departed = r.list.ahead != nil && !r.list.ahead.ready[i.incarnation]
+	i.departedByPeerView = r.endpointList.newerView != nil && !r.endpointList.newerView.ready[i.incarnation]
 	if !member.Present {
-		i.goneAt = now
+		i.removedAt = now
 	}
 	if !member.Ready {
-		i.down = max(i.down, r.list.revision)
+		i.downRevision = max(i.downRevision, r.endpointList.revision)
 	}
-	r.meet(member.Build)
-	r.tellInstance(i, now)
+	r.verifyBuild(member.Build)
+	r.updateBalancer(i, now)
 }
 
-func (r *Router) tellInstance(i *instance, now monotonic.Time) {
+func (r *Router) updateBalancer(i *endpointRecord, now monotonic.Time) {
 	m := &i.listed
-	r.balancer.UpdateEndpoint(i.it, decision.EndpointStatus{
+	r.balancer.UpdateEndpoint(i.endpoint, decision.EndpointStatus{
 		Ready:       i.ready(),
 		Present:     m.Present,
 		Build:       m.Build,
@@ -130,11 +130,11 @@
 }
 
 // takeOnly tells the module that no others than those named are listed.
-func (r *Router) takeOnly(named map[*decision.Endpoint]bool, now monotonic.Time) {
+func (r *Router) removeUnlisted(named map[*decision.Endpoint]bool, now monotonic.Time) {
 	r.balancer.RetainEndpoints(named, now)
-	for _, i := range r.instances {
-		if !named[i.it] && i.goneAt == 0 {
-			i.goneAt, i.down = now, max(i.down, r.list.revision)
+	for _, i := range r.endpointsByID {
+		if !named[i.endpoint] && i.removedAt == 0 {
+			i.removedAt, i.downRevision = now, max(i.downRevision, r.endpointList.revision)
 			i.listed.Ready, i.listed.Present = false, false
 			r.drivers.CloseIdleConnections(i.listed.Address)
 		}
@@ -143,67 +143,67 @@
 
 // dropView lets go of a peer's view, as the list held is current, and tells whether there was one. What it lacked stays
 // so where discovery counts anew.
-func (r *Router) dropView(anew bool) bool {
-	if r.list.ahead == nil {
+func (r *Router) discardPeerView(anew bool) bool {
+	if r.endpointList.newerView == nil {
 		return false
 	}
-	if anew && r.list.revision < r.list.ahead.revision {
-		for _, i := range r.instances {
-			if i.departed {
-				i.down = max(i.down, r.list.ahead.revision)
+	if anew && r.endpointList.revision < r.endpointList.newerView.revision {
+		for _, i := range r.endpointsByID {
+			if i.departedByPeerView {
+				i.downRevision = max(i.downRevision, r.endpointList.newerView.revision)
 			}
 		}
 	}
-	r.list.ahead = nil
+	r.endpointList.newerView = nil
 	return true
 }
 
 // recall tells the module again of instances that a peer's view lacked, as discovery now lists them.
-func (r *Router) recall(now monotonic.Time) {
-	for _, i := range r.instances {
-		if !i.departed {
+func (r *Router) restoreDeparted(now monotonic.Time) {
+	for _, i := range r.endpointsByID {
+		if !i.departedByPeerView {
 			continue
 		}
-		i.departed = false
-		if i.down > r.list.revision {
+		i.departedByPeerView = false
+		if i.downRevision > r.endpointList.revision {
 			i.listed.Ready = false
 		}
-		if i.goneAt == 0 {
-			r.tellInstance(i, now)
+		if i.removedAt == 0 {
+			r.updateBalancer(i, now)
 		}
 	}
 }
 
 // confirmed notes that discovery has answered, and logs the end of a time in which it did not. The list is current unless
 // a peer's view is newer.
-func (r *Router) confirmed(current bool, now monotonic.Time) {
-	l := &r.list
-	if l.failures > 0 {
-		slog.Info("the list is confirmed again", "revision", l.revision, "failures", l.failures,
-			"unconfirmed", r.unconfirmed(now))
+func (r *Router) listConfirmed(current bool, now monotonic.Time) {
+	l := &r.endpointList
+	if l.failedCalls > 0 {
+		slog.Info("the list is confirmed again", "revision", l.revision, "failures", l.failedCalls,
+			"unconfirmed", r.unconfirmedFor(now))
 	}
-	l.confirmedAt, l.failures = now, 0
+	l.confirmedAt, l.failedCalls = now, 0
 	if current {
 		r.balancer.EndpointListConfirmed(now)
 	}
 }
 
 // unconfirmed is how long ago discovery last confirmed the list; 0 if it never has.
-func (r *Router) unconfirmed(now monotonic.Time) time.Duration {
-	if r.list.confirmedAt == 0 {
+func (r *Router) unconfirmedFor(now monotonic.Time) time.Duration {
+	if r.endpointList.confirmedAt == 0 {
 		return 0
 	}
-	return time.Duration(now - r.list.confirmedAt).Round(time.Millisecond)
+	return time.Duration(now - r.endpointList.confirmedAt).Round(time.Millisecond)
 }
 
 // ListFailed tells that the list could not be asked, or that its watch broke. An answer that began and did not come
 // whole may have told of drains.
 func (r *Router) DiscoveryFailed(err error) {
 	r.events <- func(now monotonic.Time) {
-		l := &r.list
-		l.failures++
-		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failures,
-			"unconfirmed", r.unconfirmed(now))
+		l := &r.endpointList
+		l.failedCalls++
+		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failedCalls,
+			"unconfirmed", r.unconfirmedFor(now))
 		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.Begun {
 			r.balancer.DiscoveryResponseBroken(now)
 		}
@@ -224,53 +224,53 @@
 func (r *Router) DiscoveryMoved() {
 	r.events <- func(now monotonic.Time) {
 		r.balancer.DiscoveryMoved(now)
-		if r.list.exchange != nil {
-			r.list.exchange.DiscoveryLost(now)
+		if r.endpointList.exchange != nil {
+			r.endpointList.exchange.DiscoveryLost(now)
 		}
 	}
 }
 
 // heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
-func (r *Router) heardOfList(from int, text []byte, now monotonic.Time) bool {
+func (r *Router) gossipReceived(from int, text []byte, now monotonic.Time) bool {
 	if query, ok := protocol.UnpackQuery(text); ok {
-		r.list.exchange.QueryReceived(from, query, now)
+		r.endpointList.exchange.QueryReceived(from, query, now)
 		return true
 	}
 	view, ok := protocol.UnpackView(text)
 	if !ok {
 		return false
 	}
-	if learned := r.list.exchange.ViewReceived(from, view, now); learned != nil {
-		r.learn(learned, now)
+	if learned := r.endpointList.exchange.ViewReceived(from, view, now); learned != nil {
+		r.applyPeerView(learned, now)
 	}
 	return true
 }
 
 // learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) learn(learned *gossip.LearnedView, now monotonic.Time) {
+func (r *Router) applyPeerView(learned *gossip.LearnedView, now monotonic.Time) {
 	if learned.Ready != nil {
-		r.list.ahead = &peerView{learned.Revision, learned.Ready}
+		r.endpointList.newerView = &peerView{learned.Revision, learned.Ready}
 		departed := 0
-		for _, i := range r.instances {
-			if i.goneAt > 0 || i.departed == !learned.Ready[i.incarnation] {
+		for _, i := range r.endpointsByID {
+			if i.removedAt > 0 || i.departedByPeerView == !learned.Ready[i.incarnation] {
 				continue
 			}
-			if i.departed = !i.departed; i.departed {
+			if i.departedByPeerView = !i.departedByPeerView; i.departedByPeerView {
 				departed++
 				r.drivers.CloseIdleConnections(i.listed.Address)
 			}
-			r.tellInstance(i, now)
+			r.updateBalancer(i, now)
 		}
-		slog.Info("a peer told of a newer list", "revision", learned.Revision, "held", r.list.revision,
+		slog.Info("a peer told of a newer list", "revision", learned.Revision, "held", r.endpointList.revision,
 			"departed", departed)
-		r.withhold(now)
+		r.withholdDisallowed(now)
 	}
 	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
 }
 
 // exchangeViews sends what is due between gateways about the list, and gives how long to wait.
-func (r *Router) exchangeViews(now monotonic.Time) time.Duration {
-	due, wait := r.list.exchange.Tick(now)
+func (r *Router) sendGossip(now monotonic.Time) time.Duration {
+	due, wait := r.endpointList.exchange.Tick(now)
 	for _, to := range due.QueryRecipients {
 		r.drivers.SendDatagram(to, protocol.PackQuery(due.Query))
 	}
@@ -293,8 +293,8 @@
 // readyIncarnations are those that discovery lists as ready, in their order.
 func (r *Router) readyIncarnations() []uint32 {
 	var ready []uint32
-	for _, i := range r.instances {
-		if i.listed.Ready && i.goneAt == 0 {
+	for _, i := range r.endpointsByID {
+		if i.listed.Ready && i.removedAt == 0 {
 			ready = append(ready, i.incarnation)
 		}
 	}
@@ -303,38 +303,38 @@
 }
 
 // logTrust tells when the list is no longer gone by, and when it is again.
-func (r *Router) logTrust(now monotonic.Time) {
+func (r *Router) logLease(now monotonic.Time) {
 	trusted := r.balancer.EndpointListTrusted(now)
-	if trusted == r.list.trusted {
+	if trusted == r.endpointList.loggedTrusted {
 		return
 	}
-	r.list.trusted = trusted
+	r.endpointList.loggedTrusted = trusted
 	if trusted {
-		slog.Info("the list is trusted", "revision", r.list.revision)
+		slog.Info("the list is trusted", "revision", r.endpointList.revision)
 	} else {
 		slog.Warn("the list is not trusted: only instances that served lately get requests",
-			"revision", r.list.revision, "unconfirmed", r.unconfirmed(now))
+			"revision", r.endpointList.revision, "unconfirmed", r.unconfirmedFor(now))
 	}
 }
 
 // instance finds what an id names.
-func (r *Router) instance(id string) *instance {
-	i := r.instances[id]
+func (r *Router) endpointRecord(id string) *endpointRecord {
+	i := r.endpointsByID[id]
 	if i == nil {
-		i = &instance{it: &decision.Endpoint{}, number: numberOf(id), listed: protocol.Member{ID: id}}
-		r.instances[id], r.known[i.it], r.numbered[i.number] = i, i, i.it
+		i = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.Member{ID: id}}
+		r.endpointsByID[id], r.endpointRecords[i.endpoint], r.endpointsByHash[i.hash] = i, i, i.endpoint
 	}
 	return i
 }
 
 // forget lets go of instances that the list has not named for long.
-func (r *Router) forget(now monotonic.Time) {
-	for id, i := range r.instances {
-		if i.goneAt > 0 && now-i.goneAt > time.Duration(goneFor) {
-			delete(r.instances, id)
-			delete(r.known, i.it)
-			if r.numbered[i.number] == i.it {
-				delete(r.numbered, i.number)
+func (r *Router) forgetRemoved(now monotonic.Time) {
+	for id, i := range r.endpointsByID {
+		if i.removedAt > 0 && now-i.removedAt > time.Duration(removedEndpointTTL) {
+			delete(r.endpointsByID, id)
+			delete(r.endpointRecords, i.endpoint)
+			if r.endpointsByHash[i.hash] == i.endpoint {
+				delete(r.endpointsByHash, i.hash)
 			}
 		}
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -89,59 +89,59 @@
 }
 
 const (
-	eventsMost = 1024             // that wait; whoever brings a further one waits
-	goneFor    = 60 * time.Second // an instance that the list no longer names is remembered so long
-	buildsMost = 64               // that are remembered
+	eventQueueSize     = 1024             // that wait; whoever brings a further one waits
+	removedEndpointTTL = 60 * time.Second // an instance that the list no longer names is remembered so long
+	maxKnownBuilds     = 64               // that are remembered
 
-	heldUpTold   = time.Duration(100 * time.Millisecond) // later than this the module is told how late a turn comes
-	heldUpLogged = time.Duration(500 * time.Millisecond)
+	stallThreshold       = time.Duration(100 * time.Millisecond) // later than this the module is told how late a turn comes
+	loggedStallThreshold = time.Duration(500 * time.Millisecond)
 )
 
 // Router keeps the commands in hand and the timers.
 type Router struct {
-	balancer *decision.Balancer
-	busy     string // the field of a load report that tells how busy an instance is
-	drivers  Drivers
-	events   chan func(now monotonic.Time)
-	done     chan struct{} // closed at the end
-	clock    func() monotonic.Time
-
-	commands  map[*decision.Request]*inHand
-	ids       map[string]*inHand
-	clients   map[Client]*inHand
-	instances map[string]*instance
-	numbered  map[uint32]*decision.Endpoint
-	known     map[*decision.Endpoint]*instance
-	endsAt    monotonic.Time // when the gateway is ended for good; 0 while it is not to
-	builds    []int          // listed lately
-	waiting   atomic.Int64   // commands that are held
-	stands    [3]int         // the build, stage and phase last told
-	due       timers
-	order     int
-	lookedAt  monotonic.Time // when the clock was last looked at; 0 where turns are not Run's
-	turnDue   monotonic.Time // when the next turn is to come at the latest
-	trace     trace
-	list      lists
+	balancer         *decision.Balancer
+	utilizationField string // the field of a load report that tells how busy an instance is
+	drivers          Drivers
+	events           chan func(now monotonic.Time)
+	done             chan struct{} // closed at the end
+	clock            func() monotonic.Time
+
+	requests         map[*decision.Request]*activeRequest
+	requestsByID     map[string]*activeRequest
+	requestsByClient map[Client]*activeRequest
+	endpointsByID    map[string]*endpointRecord
+	endpointsByHash  map[uint32]*decision.Endpoint
+	endpointRecords  map[*decision.Endpoint]*endpointRecord
+	shutdownAt       monotonic.Time // when the gateway is ended for good; 0 while it is not to
+	knownBuilds      []int          // listed lately
+	queueLength      atomic.Int64   // commands that are held
+	loggedStatus     [3]int         // the build, stage and phase last told
+	timers           attemptTimers
+	nextSequence     int
+	clockReadAt      monotonic.Time // when the clock was last looked at; 0 where turns are not Run's
+	nextTurnBy       monotonic.Time // when the next turn is to come at the latest
+	requestLog       requestLog
+	endpointList     endpointListState
 }
 
 // inHand is a command until its final answer is given and nothing of it is out.
-type inHand struct {
-	id     string
-	cmd    *decision.Request
-	client Client // nil once it is answered or gone
-	words  func(within time.Duration) []byte
-	out    map[*decision.Attempt]*flight
+type activeRequest struct {
+	id       string
+	request  *decision.Request
+	client   Client // nil once it is answered or gone
+	encode   func(within time.Duration) []byte
+	attempts map[*decision.Attempt]*activeAttempt
 }
 
 // flight is a delivery that is out.
-type flight struct {
-	of     *inHand
-	dl     *decision.Attempt
-	on     AttemptHandle
-	sentAt monotonic.Time
-	until  monotonic.Time
-	order  int // among those of one moment
-	at     int // in the timers
+type activeAttempt struct {
+	request   *activeRequest
+	attempt   *decision.Attempt
+	handle    AttemptHandle
+	startedAt monotonic.Time
+	cancelAt  monotonic.Time
+	sequence  int // among those of one moment
+	heapIndex int // in the timers
 }
 
 // New returns a router. Its methods may be called at once; events are processed once Run is called.
@@ -149,11 +149,11 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &Router{balancer: config.Balancer, busy: config.UtilizationField, drivers: config.Drivers, clock: config.Clock,
-		events: make(chan func(time.Duration), eventsMost), done: make(chan struct{}),
-		commands: map[*decision.Request]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
-		instances: map[string]*instance{}, numbered: map[uint32]*decision.Endpoint{},
-		known: map[*decision.Endpoint]*instance{}, trace: newTrace(), list: lists{trusted: true, exchange: config.Gossip}}, nil
+	return &Router{balancer: config.Balancer, utilizationField: config.UtilizationField, drivers: config.Drivers, clock: config.Clock,
+		events: make(chan func(time.Duration), eventQueueSize), done: make(chan struct{}),
+		requests: map[*decision.Request]*activeRequest{}, requestsByID: map[string]*activeRequest{}, requestsByClient: map[Client]*activeRequest{},
+		endpointsByID: map[string]*endpointRecord{}, endpointsByHash: map[uint32]*decision.Endpoint{},
+		endpointRecords: map[*decision.Endpoint]*endpointRecord{}, requestLog: newRequestLog(), endpointList: endpointListState{loggedTrusted: true, exchange: config.Gossip}}, nil
 }
 
 // Run tells, asks and obeys until the context ends.
@@ -161,41 +161,41 @@
 	defer close(r.done)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	r.lookedAt = r.clock()
+	r.clockReadAt = r.clock()
 	for {
 		select {
 		case event := <-r.events:
-			event(r.look())
+			event(r.readClock())
 		case <-alarm.C:
 		case <-ctx.Done():
 			return
 		}
 		wait := r.turn()
-		r.turnDue = r.lookedAt + wait
+		r.nextTurnBy = r.clockReadAt + wait
 		alarm.Reset(time.Duration(wait))
 	}
 }
 
 // look reads the clock, and notices if the process stood still since the last time, or other work kept the processor.
 // Every event is told with a look of its own: a standstill may come amid a turn as well as between two.
-func (r *Router) look() time.Duration {
+func (r *Router) readClock() time.Duration {
 	now := r.clock()
-	if r.lookedAt > 0 {
-		r.noticeHeldUp(now, now-max(r.lookedAt, r.turnDue))
-		r.lookedAt = now
+	if r.clockReadAt > 0 {
+		r.detectStall(now, now-max(r.clockReadAt, r.nextTurnBy))
+		r.clockReadAt = now
 	}
 	return now
 }
 
 // noticeHeldUp tells the module how much later than it was due the clock is looked at.
-func (r *Router) noticeHeldUp(now monotonic.Time, late time.Duration) {
-	if late > heldUpTold {
-		if late > heldUpLogged {
+func (r *Router) detectStall(now monotonic.Time, late time.Duration) {
+	if late > stallThreshold {
+		if late > loggedStallThreshold {
 			slog.Warn("the gateway stood still", "for", time.Duration(late).Round(time.Millisecond))
 		}
 		r.balancer.ProcessStalled(late, now)
-		if r.list.exchange != nil && !r.balancer.EndpointListTrusted(now) {
-			r.list.exchange.DiscoveryLost(now)
+		if r.endpointList.exchange != nil && !r.balancer.EndpointListTrusted(now) {
+			r.endpointList.exchange.DiscoveryLost(now)
 		}
 	}
 }
@@ -206,21 +206,21 @@
 	for more := true; more; {
 		select {
 		case event := <-r.events:
-			event(r.look())
+			event(r.readClock())
 		default:
 			more = false
 		}
 	}
-	now := r.look()
-	r.expire(now)
-	wait := r.chores(now)
-	if r.list.exchange != nil {
-		wait = min(wait, r.exchangeViews(now))
+	now := r.readClock()
+	r.cancelOverdue(now)
+	wait := r.performDueWork(now)
+	if r.endpointList.exchange != nil {
+		wait = min(wait, r.sendGossip(now))
 	}
-	r.logTrust(now)
-	r.waiting.Store(int64(r.balancer.QueueLength()))
-	if len(r.due) > 0 {
-		wait = min(wait, r.due[0].until-now)
+	r.logLease(now)
+	r.queueLength.Store(int64(r.balancer.QueueLength()))
+	if len(r.timers) > 0 {
+		wait = min(wait, r.timers[0].cancelAt-now)
 	}
 	return max(wait, 0)
 }
@@ -230,30 +230,30 @@
 func (r *Router) RequestArrived(request protocol.Request, client Client) {
 	came := r.clock() // what it waits here is the client's time too
 	r.events <- func(now monotonic.Time) {
-		if r.ids[request.ID] != nil {
+		if r.requestsByID[request.ID] != nil {
 			client.Fail()
 			return
 		}
-		c := &inHand{id: request.ID, client: client, words: request.Encode, out: map[*decision.Attempt]*flight{}}
+		c := &activeRequest{id: request.ID, client: client, encode: request.Encode, attempts: map[*decision.Attempt]*activeAttempt{}}
 		left := request.Remaining - (now - came)
-		if r.endsAt > 0 {
-			left = min(left, r.endsAt-now)
+		if r.shutdownAt > 0 {
+			left = min(left, r.shutdownAt-now)
 		}
-		c.cmd = r.balancer.Admit(decision.Arrival{OpType: request.OpType, Key: request.Key, Remaining: left}, now)
-		r.commands[c.cmd], r.clients[client], r.ids[request.ID] = c, c, c
-		r.trace.taken(request.ID, left)
-		r.obey(c, r.balancer.Route(c.cmd, now), now)
+		c.request = r.balancer.Admit(decision.Arrival{OpType: request.OpType, Key: request.Key, Remaining: left}, now)
+		r.requests[c.request], r.requestsByClient[client], r.requestsByID[request.ID] = c, c, c
+		r.requestLog.accepted(request.ID, left)
+		r.apply(c, r.balancer.Route(c.request, now), now)
 	}
 }
 
 // Gone tells that a client has left before its answer.
 func (r *Router) ClientDisconnected(client Client) {
 	r.events <- func(now monotonic.Time) {
-		if c := r.clients[client]; c != nil {
-			r.trace.left(c.id)
-			r.balancer.ClientGone(c.cmd)
-			r.withhold(now)
-			r.tidy(c)
+		if c := r.requestsByClient[client]; c != nil {
+			r.requestLog.clientDisconnected(c.id)
+			r.balancer.ClientGone(c.request)
+			r.withholdDisallowed(now)
+			r.releaseCompleted(c)
 		}
 	}
 }
@@ -261,24 +261,24 @@
 // Ending tells that the gateway is ended for good after so long: by then every command has its final answer.
 func (r *Router) ShutdownWithin(within time.Duration) {
 	r.events <- func(now monotonic.Time) {
-		r.endsAt = now + within
-		for cmd := range r.commands { // each by itself: their order does not matter
-			r.balancer.ShortenDeadline(cmd, r.endsAt)
+		r.shutdownAt = now + within
+		for cmd := range r.requests { // each by itself: their order does not matter
+			r.balancer.ShortenDeadline(cmd, r.shutdownAt)
 		}
-		for _, f := range r.due {
-			f.until = min(f.until, r.endsAt)
+		for _, f := range r.timers {
+			f.cancelAt = min(f.cancelAt, r.shutdownAt)
 		}
-		heap.Init(&r.due)
+		heap.Init(&r.timers)
 	}
 }
 
 // meet tells of builds as they are first listed.
-func (r *Router) meet(build int) {
-	if r.drivers.VerifyBuild == nil || slices.Contains(r.builds, build) {
+func (r *Router) verifyBuild(build int) {
+	if r.drivers.VerifyBuild == nil || slices.Contains(r.knownBuilds, build) {
 		return
 	}
-	if r.builds = append(r.builds, build); len(r.builds) > buildsMost {
-		r.builds = r.builds[1:]
+	if r.knownBuilds = append(r.knownBuilds, build); len(r.knownBuilds) > maxKnownBuilds {
+		r.knownBuilds = r.knownBuilds[1:]
 	}
 	r.drivers.VerifyBuild(build)
 }
@@ -288,24 +288,24 @@
 	select {
 	case r.events <- func(now monotonic.Time) {
 		r.balancer.BuildVerified(build, so)
-		r.withhold(now)
+		r.withholdDisallowed(now)
 	}:
 	case <-r.done: // whoever tells is waited for at the end
 	}
 }
 
 // Busy tells whether commands wait for room. It may be asked by anyone.
-func (r *Router) HasQueuedRequests() bool { return r.waiting.Load() > 0 }
+func (r *Router) HasQueuedRequests() bool { return r.queueLength.Load() > 0 }
 
 // News tells where the newest build stands.
 func (r *Router) RolloutStatusReceived(status decision.RolloutStatus) {
 	r.events <- func(now monotonic.Time) {
-		if here := [3]int{status.Build, status.Stage, int(status.Phase)}; here != r.stands {
+		if here := [3]int{status.Build, status.Stage, int(status.Phase)}; here != r.loggedStatus {
 			slog.Info("news", "build", status.Build, "stage", status.Stage, "phase", status.Phase, "cap", status.ExposureCap)
-			r.stands = here
+			r.loggedStatus = here
 		}
 		r.balancer.RolloutChanged(status, now)
-		r.withhold(now)
+		r.withholdDisallowed(now)
 	}
 }
 
@@ -322,136 +322,136 @@
 // Heard tells a datagram of another gateway.
 func (r *Router) DatagramReceived(from int, text []byte) {
 	r.events <- func(now monotonic.Time) {
-		if r.list.exchange != nil && r.heardOfList(from, text, now) {
+		if r.endpointList.exchange != nil && r.gossipReceived(from, text, now) {
 			return
 		}
-		if t := protocol.UnpackTotals(text, from, r.named); t != nil {
+		if t := protocol.UnpackTotals(text, from, r.endpointByHash); t != nil {
 			r.balancer.EvidenceReceived(t, now)
-		} else if f := protocol.UnpackFinding(text, from, r.named); f != nil {
+		} else if f := protocol.UnpackFinding(text, from, r.endpointByHash); f != nil {
 			r.balancer.VoterReportReceived(f, now)
 		}
 	}
 }
 
 // obey carries out what was decided on a command.
-func (r *Router) obey(c *inHand, d decision.Decision, now monotonic.Time) {
+func (r *Router) apply(c *activeRequest, d decision.Decision, now monotonic.Time) {
 	switch d.Action {
 	case decision.ActionForward:
-		f := &flight{of: c, dl: d.Attempt, sentAt: now, until: now + d.Timeout, order: r.order}
-		r.order++
-		c.out[d.Attempt] = f
-		heap.Push(&r.due, f)
-		to := r.known[d.Endpoint]
-		r.trace.sent(c.id, to, r.list.revision, d.Attempt.Number)
-		f.on = r.drivers.StartAttempt(AttemptRequest{
+		f := &activeAttempt{request: c, attempt: d.Attempt, startedAt: now, cancelAt: now + d.Timeout, sequence: r.nextSequence}
+		r.nextSequence++
+		c.attempts[d.Attempt] = f
+		heap.Push(&r.timers, f)
+		to := r.endpointRecords[d.Endpoint]
+		r.requestLog.attemptStarted(c.id, to, r.endpointList.revision, d.Attempt.Number)
+		f.handle = r.drivers.StartAttempt(AttemptRequest{
 			Address:  to.listed.Address,
 			Deadline: time.Now().Add(d.Timeout),
-			Encode:   c.words,
+			Encode:   c.encode,
 			Finished: func(response protocol.Response) {
-				r.events <- func(now monotonic.Time) { r.ended(f, response, now) }
+				r.events <- func(now monotonic.Time) { r.finishAttempt(f, response, now) }
 			},
 		})
 	case decision.ActionReject:
 		if c.client != nil {
-			r.trace.answered(c.id, "refused", d.Reason)
+			r.requestLog.answered(c.id, "refused", d.Reason)
 			c.client.Reject(d.RetryAfter)
 		}
 	case decision.ActionFail:
 		if c.client != nil {
-			r.trace.answered(c.id, "failed", d.Reason)
+			r.requestLog.answered(c.id, "failed", d.Reason)
 			c.client.Fail()
 		}
 	}
-	r.tidy(c)
+	r.releaseCompleted(c)
 }
 
 // ended tells how a delivery ended, unless it was given up before.
-func (r *Router) ended(f *flight, response protocol.Response, now monotonic.Time) {
-	if f.of.out[f.dl] != f {
+func (r *Router) finishAttempt(f *activeAttempt, response protocol.Response, now monotonic.Time) {
+	if f.request.attempts[f.attempt] != f {
 		return
 	}
-	delete(f.of.out, f.dl)
-	heap.Remove(&r.due, f.at)
-	if busy, ok := protocol.Load(response.LoadReport, r.busy); ok {
-		r.balancer.LoadReported(f.dl.Endpoint, busy, now)
+	delete(f.request.attempts, f.attempt)
+	heap.Remove(&r.timers, f.heapIndex)
+	if busy, ok := protocol.Load(response.LoadReport, r.utilizationField); ok {
+		r.balancer.LoadReported(f.attempt.Endpoint, busy, now)
 	}
 	how := response.Outcome
 	if how == decision.OutcomeSuccess && response.Value == nil {
 		how = decision.OutcomeError // it answers something else
 	}
 	if how == decision.OutcomeSuccess {
-		r.balancer.AttemptServed(f.dl, now-f.on.ConnectionAge())
+		r.balancer.AttemptServed(f.attempt, now-f.handle.ConnectionAge())
 	}
-	settled := f.of.client == nil
-	r.trace.ended(f.of.id, r.known[f.dl.Endpoint], how, now-f.sentAt)
+	settled := f.request.client == nil
+	r.requestLog.attemptFinished(f.request.id, r.endpointRecords[f.attempt.Endpoint], how, now-f.startedAt)
 	if how == decision.OutcomeSuccess && !settled {
-		r.trace.answered(f.of.id, "served", decision.ReasonNone)
-		f.of.client.Respond(response.Value)
+		r.requestLog.answered(f.request.id, "served", decision.ReasonNone)
+		f.request.client.Respond(response.Value)
 	}
-	result := decision.AttemptResult{Outcome: how, Duration: now - f.sentAt, Settled: settled}
-	r.obey(f.of, r.balancer.FinishAttempt(f.dl, result, now), now)
+	result := decision.AttemptResult{Outcome: how, Duration: now - f.startedAt, Settled: settled}
+	r.apply(f.request, r.balancer.FinishAttempt(f.attempt, result, now), now)
 }
 
 // giveUp ends a delivery by the gateway's own will.
-func (r *Router) giveUp(f *flight, how decision.Outcome, now monotonic.Time) {
-	reached, ended := f.on.Cancel()
+func (r *Router) cancelAttempt(f *activeAttempt, how decision.Outcome, now monotonic.Time) {
+	reached, ended := f.handle.Cancel()
 	if ended {
-		f.until = now + time.Duration(time.Millisecond)
-		heap.Fix(&r.due, f.at)
+		f.cancelAt = now + time.Duration(time.Millisecond)
+		heap.Fix(&r.timers, f.heapIndex)
 		return
 	}
 	if !reached {
 		how = decision.OutcomeNotSent
 	}
-	r.ended(f, protocol.Response{Outcome: how}, now)
+	r.finishAttempt(f, protocol.Response{Outcome: how}, now)
 }
 
 // withhold gives up what has not begun to go out and may no longer: it waits for a connection, for up to a
 // second, while its client leaves, its instance is told to drain or the cap falls.
-func (r *Router) withhold(now monotonic.Time) {
-	var late []*flight
-	for _, f := range r.due {
-		if !r.balancer.AttemptAllowed(f.dl, now) && f.on.Withhold() {
+func (r *Router) withholdDisallowed(now monotonic.Time) {
+	var late []*activeAttempt
+	for _, f := range r.timers {
+		if !r.balancer.AttemptAllowed(f.attempt, now) && f.handle.Withhold() {
 			late = append(late, f)
 		}
 	}
-	slices.SortFunc(late, func(a, b *flight) int { return a.order - b.order })
+	slices.SortFunc(late, func(a, b *activeAttempt) int { return a.sequence - b.sequence })
 	for _, f := range late {
-		r.ended(f, protocol.Response{Outcome: decision.OutcomeNotSent}, now)
+		r.finishAttempt(f, protocol.Response{Outcome: decision.OutcomeNotSent}, now)
 	}
 }
 
 // expire gives up what has been out for as long as it may be.
-func (r *Router) expire(now monotonic.Time) {
-	for len(r.due) > 0 && r.due[0].until <= now {
-		r.giveUp(r.due[0], decision.OutcomeTimeout, now)
+func (r *Router) cancelOverdue(now monotonic.Time) {
+	for len(r.timers) > 0 && r.timers[0].cancelAt <= now {
+		r.cancelAttempt(r.timers[0], decision.OutcomeTimeout, now)
 	}
 }
 
 // chores carries out what is due and gives how long to wait.
-func (r *Router) chores(now monotonic.Time) time.Duration {
+func (r *Router) performDueWork(now monotonic.Time) time.Duration {
 	wait, due := r.balancer.Tick(now)
 	for _, cmd := range due.Requests {
-		if c := r.commands[cmd]; c != nil {
-			r.obey(c, r.balancer.Route(cmd, now), now)
+		if c := r.requests[cmd]; c != nil {
+			r.apply(c, r.balancer.Route(cmd, now), now)
 		}
 	}
 	if due.PollDiscovery {
 		r.drivers.PollDiscovery()
 	}
 	for _, dl := range due.CancelAttempts {
-		if c := r.commands[dl.Request]; c != nil && c.out[dl] != nil {
-			r.giveUp(c.out[dl], decision.OutcomeCanceled, now)
+		if c := r.requests[dl.Request]; c != nil && c.attempts[dl] != nil {
+			r.cancelAttempt(c.attempts[dl], decision.OutcomeCanceled, now)
 		}
 	}
 	if due.EvidenceReport != nil {
-		text := protocol.PackTotals(due.EvidenceReport, r.number)
+		text := protocol.PackTotals(due.EvidenceReport, r.endpointHash)
 		for _, to := range due.EvidenceRecipients {
 			r.drivers.SendDatagram(to, text)
 		}
 	}
 	if due.VoterReport != nil {
-		r.drivers.SendDatagram(-1, protocol.PackFinding(due.VoterReport, r.number))
+		r.drivers.SendDatagram(-1, protocol.PackFinding(due.VoterReport, r.endpointHash))
 	}
 	for _, v := range due.Votes {
 		slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", v.Verdict)
@@ -461,52 +461,52 @@
 }
 
 // tidy lets go of the client of a command that is over, and of the command once nothing of it is out.
-func (r *Router) tidy(c *inHand) {
-	if !c.cmd.Completed {
+func (r *Router) releaseCompleted(c *activeRequest) {
+	if !c.request.Completed {
 		return
 	}
 	if c.client != nil {
-		delete(r.clients, c.client)
+		delete(r.requestsByClient, c.client)
 		c.client = nil
 	}
-	if len(c.out) == 0 {
-		delete(r.commands, c.cmd)
-		delete(r.ids, c.id)
+	if len(c.attempts) == 0 {
+		delete(r.requests, c.request)
+		delete(r.requestsByID, c.id)
 	}
 }
 
 // numberOf numbers an id in messages between gateways.
-func numberOf(id string) uint32 {
+func hashID(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32()
 }
 
-func (r *Router) number(it *decision.Endpoint) uint32 {
-	if i := r.known[it]; i != nil {
-		return i.number
+func (r *Router) endpointHash(it *decision.Endpoint) uint32 {
+	if i := r.endpointRecords[it]; i != nil {
+		return i.hash
 	}
 	return 0
 }
 
-func (r *Router) named(number uint32) *decision.Endpoint { return r.numbered[number] }
+func (r *Router) endpointByHash(number uint32) *decision.Endpoint { return r.endpointsByHash[number] }
 
 // timers is a heap of what is out, by the moment until which it may be.
-type timers []*flight
+type attemptTimers []*activeAttempt
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(a, b int) bool {
-	return t[a].until < t[b].until || t[a].until == t[b].until && t[a].order < t[b].order
+func (t attemptTimers) Len() int { return len(t) }
+func (t attemptTimers) Less(a, b int) bool {
+	return t[a].cancelAt < t[b].cancelAt || t[a].cancelAt == t[b].cancelAt && t[a].sequence < t[b].sequence
 }
-func (t timers) Swap(a, b int) {
+func (t attemptTimers) Swap(a, b int) {
 	t[a], t[b] = t[b], t[a]
-	t[a].at, t[b].at = a, b
+	t[a].heapIndex, t[b].heapIndex = a, b
 }
-func (t *timers) Push(f any) {
-	f.(*flight).at = len(*t)
-	*t = append(*t, f.(*flight))
+func (t *attemptTimers) Push(f any) {
+	f.(*activeAttempt).heapIndex = len(*t)
+	*t = append(*t, f.(*activeAttempt))
 }
-func (t *timers) Pop() any {
+func (t *attemptTimers) Pop() any {
 	last := len(*t) - 1
 	f := (*t)[last]
 	*t = (*t)[:last]
