--- /dev/null
+++ b/internal/routing/config.go
@@ -0,0 +1,81 @@
+package routing
+
+import (
+	"errors"
+	"time"
+
+	"laurelring/decision"
+	"laurelring/decision/gossip"
+	"laurelring/decision/monotonic"
+	"laurelring/internal/protocol"
+)
+
+// Client is the destination of a request's final answer. Exactly one of its methods is called, once, unless the client
+// disconnects first. None of them may block.
+type Client interface {
+	Respond(value []byte)
+	Reject(retryAfter time.Duration) // the request never ran; 0 gives no advice on when to retry
+	Fail()                           // the request may have run
+}
+
+// AttemptHandle controls an attempt that has been started.
+type AttemptHandle interface {
+	// Cancel ends the attempt without an outcome. It reports whether the request may have reached the endpoint, and
+	// whether the attempt had already finished: then its outcome arrives by itself.
+	Cancel() (reachedEndpoint, alreadyFinished bool)
+	// Withhold cancels the attempt if nothing of it has been sent, and reports whether it did.
+	Withhold() bool
+	// ConnectionAge is the age of the connection that the attempt was sent on.
+	ConnectionAge() time.Duration
+}
+
+// AttemptRequest describes an attempt to start.
+type AttemptRequest struct {
+	Address  string    // of the endpoint
+	Deadline time.Time // until when the router waits for an outcome
+	// Encode gives the request's bytes, given the time that remains as they are sent.
+	Encode func(remaining time.Duration) []byte
+	// Finished is to be called once with the outcome, on another goroutine than the router's, unless the attempt was
+	// canceled or withheld before.
+	Finished func(protocol.Response)
+}
+
+// Drivers do the router's I/O. All but VerifyBuild are required, and none may block.
+type Drivers struct {
+	StartAttempt func(AttemptRequest) AttemptHandle
+	// CloseIdleConnections closes the idle connections to an address that is no longer listed.
+	CloseIdleConnections func(address string)
+	// SendDatagram sends a datagram to the gateway of that rank, or to all gateways where the rank is negative.
+	SendDatagram func(rank int, datagram []byte)
+	// CastVote casts a vote at the rollout controller; VoteAnswered is to be called with its outcome.
+	CastVote func(decision.Vote)
+	// PollDiscovery watches the endpoint list from here on, unless a watch is already established.
+	PollDiscovery func()
+	// VerifyBuild is given each build as it is first listed; BuildVerified is to be called with the result. Nil where
+	// builds are not verified.
+	VerifyBuild func(build int)
+}
+
+// Config is what a router is built from.
+type Config struct {
+	Balancer         *decision.Balancer
+	UtilizationField string                // the field of a load report that gives an endpoint's utilization
+	Clock            func() monotonic.Time // whole nanoseconds; it must not go back
+	Drivers          Drivers
+	Gossip           *gossip.Exchange // nil where gateways exchange no views of the endpoint list
+}
+
+// validate reports what a configuration lacks.
+func (c *Config) validate() error {
+	drivers := &c.Drivers
+	switch {
+	case c.Balancer == nil:
+		return errors.New("routing: no balancer")
+	case c.Clock == nil:
+		return errors.New("routing: no clock")
+	case drivers.StartAttempt == nil || drivers.CloseIdleConnections == nil || drivers.SendDatagram == nil ||
+		drivers.CastVote == nil || drivers.PollDiscovery == nil:
+		return errors.New("routing: a required driver is missing")
+	}
+	return nil
+}
--- a/internal/routing/list.go
+++ b/internal/routing/endpointlist.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"log/slog"
-	"slices"
 	"time"
 
 	"laurelring/decision"
@@ -12,27 +11,6 @@
 	"laurelring/internal/protocol"
 )
 
-// instance is one that the list has named.
-type endpointRecord struct {
-	endpoint  *decision.Endpoint
-	hash      uint32          // of its id, in messages between gateways
-	listed    protocol.Member // as discovery last listed it
-	removedAt monotonic.Time  // when it went; 0 while it is listed
-
-	downRevision       int64 // the newest revision by which it drained or was gone
-	departedByPeerView bool  // a peer's view of a newer revision lacks it
-	incarnation        uint32
-}
-
-// ready tells whether the instance may be told to the module as one that takes commands.
-func (i *endpointRecord) ready() bool { return i.listed.Ready && !i.departedByPeerView }
-
-// peerView is a peer's view of a revision that discovery has not told this gateway yet.
-type peerView struct {
-	revision int64
-	ready    map[uint32]bool
-}
-
 // lists is how the router takes in what discovery and peers tell of the list.
 type endpointListState struct {
 	revision      int64          // of the list held
@@ -115,20 +93,6 @@
 	r.updateBalancer(i, now)
 }
 
-func (r *Router) updateBalancer(i *endpointRecord, now monotonic.Time) {
-	m := &i.listed
-	r.balancer.UpdateEndpoint(i.endpoint, decision.EndpointStatus{
-		Ready:       i.ready(),
-		Present:     m.Present,
-		Build:       m.Build,
-		Zone:        m.Zone,
-		MachineType: m.Model,
-		Cell:        m.Cell,
-		Size:        m.Size,
-		StartedAt:   m.StartedAt,
-	}, now)
-}
-
 // takeOnly tells the module that no others than those named are listed.
 func (r *Router) removeUnlisted(named map[*decision.Endpoint]bool, now monotonic.Time) {
 	r.balancer.RetainEndpoints(named, now)
@@ -141,39 +105,6 @@
 	}
 }
 
-// dropView lets go of a peer's view, as the list held is current, and tells whether there was one. What it lacked stays
-// so where discovery counts anew.
-func (r *Router) discardPeerView(anew bool) bool {
-	if r.endpointList.newerView == nil {
-		return false
-	}
-	if anew && r.endpointList.revision < r.endpointList.newerView.revision {
-		for _, i := range r.endpointsByID {
-			if i.departedByPeerView {
-				i.downRevision = max(i.downRevision, r.endpointList.newerView.revision)
-			}
-		}
-	}
-	r.endpointList.newerView = nil
-	return true
-}
-
-// recall tells the module again of instances that a peer's view lacked, as discovery now lists them.
-func (r *Router) restoreDeparted(now monotonic.Time) {
-	for _, i := range r.endpointsByID {
-		if !i.departedByPeerView {
-			continue
-		}
-		i.departedByPeerView = false
-		if i.downRevision > r.endpointList.revision {
-			i.listed.Ready = false
-		}
-		if i.removedAt == 0 {
-			r.updateBalancer(i, now)
-		}
-	}
-}
-
 // confirmed notes that discovery has answered, and logs the end of a time in which it did not. The list is current unless
 // a peer's view is newer.
 func (r *Router) listConfirmed(current bool, now monotonic.Time) {
@@ -230,78 +161,6 @@
 	}
 }
 
-// heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
-func (r *Router) gossipReceived(from int, text []byte, now monotonic.Time) bool {
-	if query, ok := protocol.UnpackQuery(text); ok {
-		r.endpointList.exchange.QueryReceived(from, query, now)
-		return true
-	}
-	view, ok := protocol.UnpackView(text)
-	if !ok {
-		return false
-	}
-	if learned := r.endpointList.exchange.ViewReceived(from, view, now); learned != nil {
-		r.applyPeerView(learned, now)
-	}
-	return true
-}
-
-// learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) applyPeerView(learned *gossip.LearnedView, now monotonic.Time) {
-	if learned.Ready != nil {
-		r.endpointList.newerView = &peerView{learned.Revision, learned.Ready}
-		departed := 0
-		for _, i := range r.endpointsByID {
-			if i.removedAt > 0 || i.departedByPeerView == !learned.Ready[i.incarnation] {
-				continue
-			}
-			if i.departedByPeerView = !i.departedByPeerView; i.departedByPeerView {
-				departed++
-				r.drivers.CloseIdleConnections(i.listed.Address)
-			}
-			r.updateBalancer(i, now)
-		}
-		slog.Info("a peer told of a newer list", "revision", learned.Revision, "held", r.endpointList.revision,
-			"departed", departed)
-		r.withholdDisallowed(now)
-	}
-	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
-}
-
-// exchangeViews sends what is due between gateways about the list, and gives how long to wait.
-func (r *Router) sendGossip(now monotonic.Time) time.Duration {
-	due, wait := r.endpointList.exchange.Tick(now)
-	for _, to := range due.QueryRecipients {
-		r.drivers.SendDatagram(to, protocol.PackQuery(due.Query))
-	}
-	var ready []uint32
-	for _, reply := range due.Replies {
-		if !reply.IncludeReady {
-			r.drivers.SendDatagram(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
-			continue
-		}
-		if ready == nil {
-			ready = r.readyIncarnations()
-		}
-		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.ViewEach) {
-			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
-		}
-	}
-	return wait
-}
-
-// readyIncarnations are those that discovery lists as ready, in their order.
-func (r *Router) readyIncarnations() []uint32 {
-	var ready []uint32
-	for _, i := range r.endpointsByID {
-		if i.listed.Ready && i.removedAt == 0 {
-			ready = append(ready, i.incarnation)
-		}
-	}
-	slices.Sort(ready)
-	return ready
-}
-
 // logTrust tells when the list is no longer gone by, and when it is again.
 func (r *Router) logLease(now monotonic.Time) {
 	trusted := r.balancer.EndpointListTrusted(now)
@@ -316,26 +175,3 @@
 			"revision", r.endpointList.revision, "unconfirmed", r.unconfirmedFor(now))
 	}
 }
-
-// instance finds what an id names.
-func (r *Router) endpointRecord(id string) *endpointRecord {
-	i := r.endpointsByID[id]
-	if i == nil {
-		i = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.Member{ID: id}}
-		r.endpointsByID[id], r.endpointRecords[i.endpoint], r.endpointsByHash[i.hash] = i, i, i.endpoint
-	}
-	return i
-}
-
-// forget lets go of instances that the list has not named for long.
-func (r *Router) forgetRemoved(now monotonic.Time) {
-	for id, i := range r.endpointsByID {
-		if i.removedAt > 0 && now-i.removedAt > time.Duration(removedEndpointTTL) {
-			delete(r.endpointsByID, id)
-			delete(r.endpointRecords, i.endpoint)
-			if r.endpointsByHash[i.hash] == i.endpoint {
-				delete(r.endpointsByHash, i.hash)
-			}
-		}
-	}
-}
