--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"container/heap"
 	"slices"
 	"time"
 
@@ -10,76 +9,104 @@
 	"laurelring/internal/protocol"
 )
 
-// flight is a delivery that is out.
+// lateOutcomePoll is how long an overdue attempt that has finished by itself is left, again and again, until its outcome
+// has arrived.
+const lateOutcomePoll = time.Millisecond
+
+// activeAttempt is an attempt in flight.
 type activeAttempt struct {
 	request   *activeRequest
-	attempt   *decision.Attempt
+	state     *decision.Attempt
 	handle    AttemptHandle
 	startedAt monotonic.Time
 	cancelAt  monotonic.Time
-	sequence  int // among those of one moment
-	heapIndex int // in the timers
+	sequence  int // in the order in which attempts were started
+	heapIndex int // among the timers
+}
+
+// startAttempt forwards a request to an endpoint.
+func (r *Router) startAttempt(request *activeRequest, verdict decision.Decision, now monotonic.Time) {
+	attempt := &activeAttempt{
+		request:   request,
+		state:     verdict.Attempt,
+		startedAt: now,
+		cancelAt:  now + verdict.Timeout,
+	}
+	request.attempts[attempt.state] = attempt
+	r.timers.add(attempt)
+	endpoint := r.endpoints.byDecision[verdict.Endpoint]
+	r.requestLog.attemptStarted(request.id, endpoint, r.list.revision, attempt.state.Number)
+	attempt.handle = r.drivers.StartAttempt(AttemptRequest{
+		Address:  endpoint.listed.Address,
+		Deadline: time.Now().Add(verdict.Timeout),
+		Encode:   request.encode,
+		Finished: func(response protocol.Response) {
+			r.events <- func(now monotonic.Time) { r.finishAttempt(attempt, response, now) }
+		},
+	})
 }
 
-// ended tells how a delivery ended, unless it was given up before.
-func (r *Router) finishAttempt(f *activeAttempt, response protocol.Response, now monotonic.Time) {
-	if f.request.attempts[f.attempt] != f {
+// finishAttempt takes in how an attempt ended, unless it was canceled before.
+func (r *Router) finishAttempt(attempt *activeAttempt, response protocol.Response, now monotonic.Time) {
+	request := attempt.request
+	if request.attempts[attempt.state] != attempt {
 		return
 	}
-	delete(f.request.attempts, f.attempt)
-	heap.Remove(&r.timers, f.heapIndex)
-	if busy, ok := protocol.Load(response.LoadReport, r.utilizationField); ok {
-		r.balancer.LoadReported(f.attempt.Endpoint, busy, now)
+	delete(request.attempts, attempt.state)
+	r.timers.remove(attempt)
+	if utilization, ok := protocol.Load(response.LoadReport, r.utilizationField); ok {
+		r.balancer.LoadReported(attempt.state.Endpoint, utilization, now)
 	}
-	how := response.Outcome
-	if how == decision.OutcomeSuccess && response.Value == nil {
-		how = decision.OutcomeError // it answers something else
+	outcome := response.Outcome
+	if outcome == decision.OutcomeSuccess && response.Value == nil {
+		outcome = decision.OutcomeError // a null is the answer to another request
 	}
-	if how == decision.OutcomeSuccess {
-		r.balancer.AttemptServed(f.attempt, now-f.handle.ConnectionAge())
+	if outcome == decision.OutcomeSuccess {
+		r.balancer.AttemptServed(attempt.state, now-attempt.handle.ConnectionAge())
 	}
-	settled := f.request.client == nil
-	r.requestLog.attemptFinished(f.request.id, r.endpointRecords[f.attempt.Endpoint], how, now-f.startedAt)
-	if how == decision.OutcomeSuccess && !settled {
-		r.requestLog.answered(f.request.id, "served", decision.ReasonNone)
-		f.request.client.Respond(response.Value)
+	duration := now - attempt.startedAt
+	settled := request.client == nil
+	r.requestLog.attemptFinished(request.id, r.endpoints.byDecision[attempt.state.Endpoint], outcome, duration)
+	if outcome == decision.OutcomeSuccess && !settled {
+		r.requestLog.answered(request.id, answerServed, decision.ReasonNone)
+		request.client.Respond(response.Value)
 	}
-	result := decision.AttemptResult{Outcome: how, Duration: now - f.startedAt, Settled: settled}
-	r.apply(f.request, r.balancer.FinishAttempt(f.attempt, result, now), now)
+	result := decision.AttemptResult{Outcome: outcome, Duration: duration, Settled: settled}
+	r.apply(request, r.balancer.FinishAttempt(attempt.state, result, now), now)
 }
 
-// giveUp ends a delivery by the gateway's own will.
-func (r *Router) cancelAttempt(f *activeAttempt, how decision.Outcome, now monotonic.Time) {
-	reached, ended := f.handle.Cancel()
-	if ended {
-		f.cancelAt = now + time.Duration(time.Millisecond)
-		heap.Fix(&r.timers, f.heapIndex)
+// cancelAttempt ends an attempt on the gateway's side, with an outcome for the case that it may have reached the endpoint.
+func (r *Router) cancelAttempt(attempt *activeAttempt, outcome decision.Outcome, now monotonic.Time) {
+	reachedEndpoint, alreadyFinished := attempt.handle.Cancel()
+	if alreadyFinished {
+		r.timers.reset(attempt, now+lateOutcomePoll)
 		return
 	}
-	if !reached {
-		how = decision.OutcomeNotSent
+	if !reachedEndpoint {
+		outcome = decision.OutcomeNotSent
 	}
-	r.finishAttempt(f, protocol.Response{Outcome: how}, now)
+	r.finishAttempt(attempt, protocol.Response{Outcome: outcome}, now)
 }
 
-// withhold gives up what has not begun to go out and may no longer: it waits for a connection, for up to a
-// second, while its client leaves, its instance is told to drain or the cap falls.
-func (r *Router) withholdDisallowed(now monotonic.Time) {
-	var late []*activeAttempt
-	for _, f := range r.timers {
-		if !r.balancer.AttemptAllowed(f.attempt, now) && f.handle.Withhold() {
-			late = append(late, f)
-		}
-	}
-	slices.SortFunc(late, func(a, b *activeAttempt) int { return a.sequence - b.sequence })
-	for _, f := range late {
-		r.finishAttempt(f, protocol.Response{Outcome: decision.OutcomeNotSent}, now)
+// cancelOverdue cancels the attempts whose timers have expired.
+func (r *Router) cancelOverdue(now monotonic.Time) {
+	for attempt := r.timers.overdue(now); attempt != nil; attempt = r.timers.overdue(now) {
+		r.cancelAttempt(attempt, decision.OutcomeTimeout, now)
 	}
 }
 
-// expire gives up what has been out for as long as it may be.
-func (r *Router) cancelOverdue(now monotonic.Time) {
-	for len(r.timers) > 0 && r.timers[0].cancelAt <= now {
-		r.cancelAttempt(r.timers[0], decision.OutcomeTimeout, now)
+// withholdDisallowed cancels the attempts of which nothing has been sent and which the balancer no longer allows. An
+// attempt may wait up to a second for its connection, and meanwhile its client may disconnect, its endpoint may begin to
+// drain, or the exposure cap may fall.
+func (r *Router) withholdDisallowed(now monotonic.Time) {
+	var withheld []*activeAttempt
+	for _, attempt := range r.timers.heap {
+		if !r.balancer.AttemptAllowed(attempt.state, now) && attempt.handle.Withhold() {
+			withheld = append(withheld, attempt)
+		}
+	}
+	slices.SortFunc(withheld, func(a, b *activeAttempt) int { return a.sequence - b.sequence })
+	for _, attempt := range withheld {
+		r.finishAttempt(attempt, protocol.Response{Outcome: decision.OutcomeNotSent}, now)
 	}
 }
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -11,14 +11,23 @@
 	"laurelring/internal/protocol"
 )
 
-// lists is how the router takes in what discovery and peers tell of the list.
+// endpointListState is what the router knows of the endpoint list beside its endpoints.
 type endpointListState struct {
-	revision      int64          // of the list held
-	confirmedAt   monotonic.Time // when discovery last confirmed it; 0 before it first has
-	failedCalls   int            // calls that have failed since
-	loggedTrusted bool           // the module goes by the list, for the log
-	exchange      *gossip.Exchange
-	newerView     *peerView // nil where no peer's view is newer
+	revision    int64            // of the list held
+	confirmedAt monotonic.Time   // when discovery last confirmed it; 0 before it first has
+	failures    int              // of discovery since then
+	exchange    *gossip.Exchange // nil where gateways exchange no views
+	newerView   *peerView        // nil where no peer's view is newer than the list held
+
+	loggedTrusted bool // whether the lease was valid when its state was last logged
+}
+
+// unconfirmedFor is how long ago discovery last confirmed the list, for the log; 0 if it never has.
+func (s *endpointListState) unconfirmedFor(now monotonic.Time) time.Duration {
+	if s.confirmedAt == 0 {
+		return 0
+	}
+	return (now - s.confirmedAt).Round(time.Millisecond)
 }
 
 // EndpointListUpdate is an answer of discovery, or the endpoint list that the gateway starts with.
@@ -30,148 +39,135 @@
 	Full bool
 }
 
-// EndpointListReceived takes an endpoint list in and waits until that is done. It returns protocol.ErrOlder where the
+// EndpointListReceived posts an endpoint list and waits until it is processed. It returns protocol.ErrOlder where the
 // list is older than the one held.
 func (r *Router) EndpointListReceived(update EndpointListUpdate) error {
-	done := make(chan error, 1)
-	r.events <- func(now monotonic.Time) { done <- r.applyEndpointList(update, now) }
-	return <-done
+	processed := make(chan error, 1)
+	r.events <- func(now monotonic.Time) { processed <- r.applyEndpointList(update, now) }
+	return <-processed
 }
 
-// takeList tells the module a list, unless it is older than the one held: that would undo drains that were told.
+// applyEndpointList updates the balancer's endpoints. A list that is older than the one held is refused, as it would undo
+// drains, unless discovery was asked without a revision and gave a complete list.
 func (r *Router) applyEndpointList(update EndpointListUpdate, now monotonic.Time) error {
-	list, cached, anew := update.List, update.Cached, update.Full
-	if list.Revision < r.endpointList.revision && !(anew && list.Whole) {
+	list := update.List
+	if list.Revision < r.list.revision && !(update.Full && list.Whole) {
 		return protocol.ErrOlder
 	}
-	r.endpointList.revision = list.Revision
-	current := cached || r.endpointList.exchange == nil || r.endpointList.exchange.DiscoveryConfirmed(list.Revision, anew, now)
-	caughtUp := current && r.discardPeerView(anew)
-	named := map[*decision.Endpoint]bool{}
-	for _, member := range list.Members {
-		i := r.endpointRecord(member.ID)
-		named[i.endpoint] = true
-		r.applyMember(i, member, now)
-	}
-	if list.Whole {
-		r.removeUnlisted(named, now)
-	}
+	r.list.revision = list.Revision
+	current := update.Cached || r.list.exchange == nil ||
+		r.list.exchange.DiscoveryConfirmed(list.Revision, update.Full, now)
+	caughtUp := current && r.discardPeerView(update.Full)
+	r.applyMembers(list, now)
 	if caughtUp {
 		r.restoreDeparted(now)
 	}
-	r.balancer.CommitEndpointList(cached, now)
-	if !cached {
+	r.balancer.CommitEndpointList(update.Cached, now)
+	if !update.Cached {
 		r.listConfirmed(current, now)
 	}
 	r.withholdDisallowed(now)
-	r.forgetRemoved(now)
+	r.endpoints.expire(now)
 	return nil
 }
 
-// takeMember tells the module one entry.
-func (r *Router) applyMember(i *endpointRecord, member protocol.Member, now monotonic.Time) {
-	if was := i.listed.Address; was != "" && was != member.Address || !member.Present {
-		r.drivers.CloseIdleConnections(was)
-	}
-	// What drained or went by a newer list stays so, until it starts anew or discovery has counted beyond.
-	if member.Ready && i.downRevision > r.endpointList.revision && i.listed.StartedAt == member.StartedAt && i.listed.Build == member.Build {
-		member.Ready = false
-	}
-	if !member.Present { // a removed entry may lack the rest
-		member.StartedAt, member.Build = i.listed.StartedAt, i.listed.Build
-	}
-	i.listed, i.removedAt = member, 0
-	i.incarnation = gossip.Incarnation(member.ID, member.StartedAt, member.Build)
-	i.departedByPeerView = r.endpointList.newerView != nil && !r.endpointList.newerView.ready[i.incarnation]
-	if !member.Present {
-		i.removedAt = now
+// applyMembers updates the endpoints that a list names, and removes the others where it is complete.
+func (r *Router) applyMembers(list *protocol.List, now monotonic.Time) {
+	named := map[*decision.Endpoint]bool{}
+	for _, member := range list.Members {
+		record := r.endpoints.record(member.ID)
+		named[record.endpoint] = true
+		r.applyMember(record, member, now)
 	}
-	if !member.Ready {
-		i.downRevision = max(i.downRevision, r.endpointList.revision)
+	if list.Whole {
+		r.retainOnly(named, now)
 	}
-	r.verifyBuild(member.Build)
-	r.updateBalancer(i, now)
 }
 
-// takeOnly tells the module that no others than those named are listed.
-func (r *Router) removeUnlisted(named map[*decision.Endpoint]bool, now monotonic.Time) {
+// applyMember updates an endpoint by its entry in the list.
+func (r *Router) applyMember(record *endpointRecord, member protocol.Member, now monotonic.Time) {
+	address := record.listed.Address
+	moved := address != "" && address != member.Address
+	if moved || !member.Present {
+		r.drivers.CloseIdleConnections(address)
+	}
+	record.list(member, r.list.revision, now)
+	record.departed = r.list.newerView != nil && !r.list.newerView.ready[record.incarnation]
+	r.verifyBuild(record.listed.Build)
+	r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
+}
+
+// retainOnly removes the endpoints that a complete list does not name.
+func (r *Router) retainOnly(named map[*decision.Endpoint]bool, now monotonic.Time) {
 	r.balancer.RetainEndpoints(named, now)
-	for _, i := range r.endpointsByID {
-		if !named[i.endpoint] && i.removedAt == 0 {
-			i.removedAt, i.downRevision = now, max(i.downRevision, r.endpointList.revision)
-			i.listed.Ready, i.listed.Present = false, false
-			r.drivers.CloseIdleConnections(i.listed.Address)
+	for _, record := range r.endpoints.byID {
+		if named[record.endpoint] || record.removedAt != 0 {
+			continue
 		}
+		record.unlist(r.list.revision, now)
+		r.drivers.CloseIdleConnections(record.listed.Address)
 	}
 }
 
-// confirmed notes that discovery has answered, and logs the end of a time in which it did not. The list is current unless
-// a peer's view is newer.
+// listConfirmed notes that discovery has answered. That renews the lease where the list is current, which it is unless a
+// peer's view is newer.
 func (r *Router) listConfirmed(current bool, now monotonic.Time) {
-	l := &r.endpointList
-	if l.failedCalls > 0 {
-		slog.Info("the list is confirmed again", "revision", l.revision, "failures", l.failedCalls,
-			"unconfirmed", r.unconfirmedFor(now))
+	if r.list.failures > 0 {
+		slog.Info("endpoint list confirmed again", "revision", r.list.revision, "failures", r.list.failures,
+			"unconfirmed_for", r.list.unconfirmedFor(now))
 	}
-	l.confirmedAt, l.failedCalls = now, 0
+	r.list.confirmedAt, r.list.failures = now, 0
 	if current {
 		r.balancer.EndpointListConfirmed(now)
 	}
 }
 
-// unconfirmed is how long ago discovery last confirmed the list; 0 if it never has.
-func (r *Router) unconfirmedFor(now monotonic.Time) time.Duration {
-	if r.endpointList.confirmedAt == 0 {
-		return 0
-	}
-	return time.Duration(now - r.endpointList.confirmedAt).Round(time.Millisecond)
-}
-
-// ListFailed tells that the list could not be asked, or that its watch broke. An answer that began and did not come
-// whole may have told of drains.
+// DiscoveryFailed posts that discovery could not be asked, or that a watch of the endpoint list broke. A response that
+// began and did not arrive whole may have listed drains.
 func (r *Router) DiscoveryFailed(err error) {
 	r.events <- func(now monotonic.Time) {
-		l := &r.endpointList
-		l.failedCalls++
-		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failedCalls,
-			"unconfirmed", r.unconfirmedFor(now))
-		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.Begun {
+		r.list.failures++
+		slog.Warn("endpoint list watch failed", "error", err, "revision", r.list.revision,
+			"failures", r.list.failures, "unconfirmed_for", r.list.unconfirmedFor(now))
+		var call *protocol.CallError
+		if errors.As(err, &call) && call.Begun {
 			r.balancer.DiscoveryResponseBroken(now)
 		}
-		if l.exchange != nil {
-			l.exchange.DiscoveryLost(now)
-			r.balancer.UnansweredShareEstimated(l.exchange.UnansweredShare(now))
+		if r.list.exchange != nil {
+			r.list.exchange.DiscoveryLost(now)
+			r.balancer.UnansweredShareEstimated(r.list.exchange.UnansweredShare(now))
 		}
 		r.balancer.DiscoveryFailed(now)
 	}
 }
 
-// ListBegun tells that an answer of discovery has begun to come.
+// DiscoveryResponseStarted posts that a response of discovery has begun to arrive.
 func (r *Router) DiscoveryResponseStarted() {
 	r.events <- func(now monotonic.Time) { r.balancer.DiscoveryResponseStarted(now) }
 }
 
-// ListMoved tells that discovery is asked at another address from now on.
+// DiscoveryMoved posts that discovery is asked at another address from now on.
 func (r *Router) DiscoveryMoved() {
 	r.events <- func(now monotonic.Time) {
 		r.balancer.DiscoveryMoved(now)
-		if r.endpointList.exchange != nil {
-			r.endpointList.exchange.DiscoveryLost(now)
+		if r.list.exchange != nil {
+			r.list.exchange.DiscoveryLost(now)
 		}
 	}
 }
 
-// logTrust tells when the list is no longer gone by, and when it is again.
+// logLease logs when the lease on the endpoint list expires, and when it is valid again. Without it only endpoints that
+// served lately get requests.
 func (r *Router) logLease(now monotonic.Time) {
 	trusted := r.balancer.EndpointListTrusted(now)
-	if trusted == r.endpointList.loggedTrusted {
+	if trusted == r.list.loggedTrusted {
 		return
 	}
-	r.endpointList.loggedTrusted = trusted
+	r.list.loggedTrusted = trusted
 	if trusted {
-		slog.Info("the list is trusted", "revision", r.endpointList.revision)
-	} else {
-		slog.Warn("the list is not trusted: only instances that served lately get requests",
-			"revision", r.endpointList.revision, "unconfirmed", r.unconfirmedFor(now))
+		slog.Info("endpoint list lease valid again", "revision", r.list.revision)
+		return
 	}
+	slog.Warn("endpoint list lease expired", "revision", r.list.revision,
+		"unconfirmed_for", r.list.unconfirmedFor(now))
 }
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -5,74 +5,126 @@
 	"time"
 
 	"laurelring/decision"
+	"laurelring/decision/gossip"
 	"laurelring/decision/monotonic"
 	"laurelring/internal/protocol"
 )
 
-// instance is one that the list has named.
+// removedEndpointTTL is how long an endpoint is remembered that is no longer listed.
+const removedEndpointTTL = 60 * time.Second
+
+// endpointRecord is what the router knows of an endpoint that has been listed.
 type endpointRecord struct {
 	endpoint  *decision.Endpoint
 	hash      uint32          // of its id, in messages between gateways
 	listed    protocol.Member // as discovery last listed it
-	removedAt monotonic.Time  // when it went; 0 while it is listed
+	removedAt monotonic.Time  // when it was no longer listed; 0 while it is
 
-	downRevision       int64 // the newest revision by which it drained or was gone
-	departedByPeerView bool  // a peer's view of a newer revision lacks it
-	incarnation        uint32
+	incarnation  uint32
+	downRevision int64 // the newest revision by which it was draining or removed
+	departed     bool  // the newer view of a peer lacks it
 }
 
-// ready tells whether the instance may be told to the module as one that takes commands.
-func (i *endpointRecord) ready() bool { return i.listed.Ready && !i.departedByPeerView }
-
-func (r *Router) updateBalancer(i *endpointRecord, now monotonic.Time) {
-	m := &i.listed
-	r.balancer.UpdateEndpoint(i.endpoint, decision.EndpointStatus{
-		Ready:       i.ready(),
-		Present:     m.Present,
-		Build:       m.Build,
-		Zone:        m.Zone,
-		MachineType: m.Model,
-		Cell:        m.Cell,
-		Size:        m.Size,
-		StartedAt:   m.StartedAt,
-	}, now)
+// ready reports whether the endpoint takes requests, by discovery and by peers.
+func (record *endpointRecord) ready() bool { return record.listed.Ready && !record.departed }
+
+// status is the endpoint as the balancer is to know it.
+func (record *endpointRecord) status() decision.EndpointStatus {
+	listed := &record.listed
+	return decision.EndpointStatus{
+		Ready:       record.ready(),
+		Present:     listed.Present,
+		Build:       listed.Build,
+		Zone:        listed.Zone,
+		MachineType: listed.Model,
+		Cell:        listed.Cell,
+		Size:        listed.Size,
+		StartedAt:   listed.StartedAt,
+	}
 }
 
-// instance finds what an id names.
-func (r *Router) endpointRecord(id string) *endpointRecord {
-	i := r.endpointsByID[id]
-	if i == nil {
-		i = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.Member{ID: id}}
-		r.endpointsByID[id], r.endpointRecords[i.endpoint], r.endpointsByHash[i.hash] = i, i, i.endpoint
+// list takes in an entry of the endpoint list of a revision.
+func (record *endpointRecord) list(member protocol.Member, revision int64, now monotonic.Time) {
+	// What was draining or removed by a newer list stays so until it is restarted or discovery has counted beyond.
+	sameIncarnation := record.listed.StartedAt == member.StartedAt && record.listed.Build == member.Build
+	if member.Ready && record.downRevision > revision && sameIncarnation {
+		member.Ready = false
+	}
+	if !member.Present { // the entry of a removed endpoint may lack the rest
+		member.StartedAt, member.Build = record.listed.StartedAt, record.listed.Build
+	}
+	record.listed, record.removedAt = member, 0
+	record.incarnation = gossip.Incarnation(member.ID, member.StartedAt, member.Build)
+	if !member.Present {
+		record.removedAt = now
+	}
+	if !member.Ready {
+		record.downRevision = max(record.downRevision, revision)
 	}
-	return i
 }
 
-// forget lets go of instances that the list has not named for long.
-func (r *Router) forgetRemoved(now monotonic.Time) {
-	for id, i := range r.endpointsByID {
-		if i.removedAt > 0 && now-i.removedAt > time.Duration(removedEndpointTTL) {
-			delete(r.endpointsByID, id)
-			delete(r.endpointRecords, i.endpoint)
-			if r.endpointsByHash[i.hash] == i.endpoint {
-				delete(r.endpointsByHash, i.hash)
-			}
-		}
+// unlist marks an endpoint as removed by the list of a revision.
+func (record *endpointRecord) unlist(revision int64, now monotonic.Time) {
+	record.removedAt = now
+	record.downRevision = max(record.downRevision, revision)
+	record.listed.Ready, record.listed.Present = false, false
+}
+
+// endpointTable finds the endpoint records.
+type endpointTable struct {
+	byID       map[string]*endpointRecord
+	byDecision map[*decision.Endpoint]*endpointRecord
+	byHash     map[uint32]*decision.Endpoint // where ids collide, the latest
+}
+
+func newEndpointTable() endpointTable {
+	return endpointTable{
+		byID:       map[string]*endpointRecord{},
+		byDecision: map[*decision.Endpoint]*endpointRecord{},
+		byHash:     map[uint32]*decision.Endpoint{},
 	}
 }
 
-// numberOf numbers an id in messages between gateways.
-func hashID(id string) uint32 {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return h.Sum32()
+// record returns the record of an id, which it makes where there is none.
+func (t *endpointTable) record(id string) *endpointRecord {
+	record := t.byID[id]
+	if record == nil {
+		record = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.Member{ID: id}}
+		t.byID[id] = record
+		t.byDecision[record.endpoint] = record
+		t.byHash[record.hash] = record.endpoint
+	}
+	return record
+}
+
+// expire forgets the endpoints that were removed long ago.
+func (t *endpointTable) expire(now monotonic.Time) {
+	for id, record := range t.byID {
+		if record.removedAt == 0 || now-record.removedAt <= removedEndpointTTL {
+			continue
+		}
+		delete(t.byID, id)
+		delete(t.byDecision, record.endpoint)
+		if t.byHash[record.hash] == record.endpoint {
+			delete(t.byHash, record.hash)
+		}
+	}
 }
 
-func (r *Router) endpointHash(it *decision.Endpoint) uint32 {
-	if i := r.endpointRecords[it]; i != nil {
-		return i.hash
+// hashOf returns what stands for an endpoint in messages between gateways; 0 where it has been forgotten.
+func (t *endpointTable) hashOf(endpoint *decision.Endpoint) uint32 {
+	if record := t.byDecision[endpoint]; record != nil {
+		return record.hash
 	}
 	return 0
 }
 
-func (r *Router) endpointByHash(number uint32) *decision.Endpoint { return r.endpointsByHash[number] }
+// endpointByHash returns the endpoint that a message between gateways names, or nil.
+func (t *endpointTable) endpointByHash(hash uint32) *decision.Endpoint { return t.byHash[hash] }
+
+// hashID returns what stands for an endpoint's id in messages between gateways.
+func hashID(id string) uint32 {
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	return hash.Sum32()
+}
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -10,97 +10,114 @@
 	"laurelring/internal/protocol"
 )
 
-// peerView is a peer's view of a revision that discovery has not told this gateway yet.
+// peerView is a peer's view of a revision that discovery has not given this gateway yet.
 type peerView struct {
 	revision int64
-	ready    map[uint32]bool
+	ready    map[uint32]bool // by incarnation
 }
 
-// dropView lets go of a peer's view, as the list held is current, and tells whether there was one. What it lacked stays
-// so where discovery counts anew.
-func (r *Router) discardPeerView(anew bool) bool {
-	if r.endpointList.newerView == nil {
+// DatagramReceived posts a datagram of the gateway of a rank.
+func (r *Router) DatagramReceived(sender int, datagram []byte) {
+	r.events <- func(now monotonic.Time) {
+		if r.list.exchange != nil && r.gossipReceived(sender, datagram, now) {
+			return
+		}
+		r.evidenceReceived(sender, datagram, now)
+	}
+}
+
+// gossipReceived takes in a peer's query or view of the endpoint list, and reports whether the datagram was one.
+func (r *Router) gossipReceived(sender int, datagram []byte, now monotonic.Time) bool {
+	if query, ok := protocol.UnpackQuery(datagram); ok {
+		r.list.exchange.QueryReceived(sender, query, now)
+		return true
+	}
+	view, ok := protocol.UnpackView(datagram)
+	if !ok {
 		return false
 	}
-	if anew && r.endpointList.revision < r.endpointList.newerView.revision {
-		for _, i := range r.endpointsByID {
-			if i.departedByPeerView {
-				i.downRevision = max(i.downRevision, r.endpointList.newerView.revision)
-			}
-		}
+	learned := r.list.exchange.ViewReceived(sender, view, now)
+	if learned == nil {
+		return true
 	}
-	r.endpointList.newerView = nil
+	if learned.Ready != nil {
+		r.applyPeerView(&peerView{revision: learned.Revision, ready: learned.Ready}, now)
+	}
+	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
 	return true
 }
 
-// recall tells the module again of instances that a peer's view lacked, as discovery now lists them.
-func (r *Router) restoreDeparted(now monotonic.Time) {
-	for _, i := range r.endpointsByID {
-		if !i.departedByPeerView {
+// applyPeerView goes by a newer view of a peer: the endpoints that it lacks have begun to drain or were removed since the
+// revision held.
+func (r *Router) applyPeerView(view *peerView, now monotonic.Time) {
+	r.list.newerView = view
+	departed := 0
+	for _, record := range r.endpoints.byID {
+		lacking := !view.ready[record.incarnation]
+		if record.removedAt > 0 || record.departed == lacking {
 			continue
 		}
-		i.departedByPeerView = false
-		if i.downRevision > r.endpointList.revision {
-			i.listed.Ready = false
-		}
-		if i.removedAt == 0 {
-			r.updateBalancer(i, now)
+		record.departed = lacking
+		if lacking {
+			departed++
+			r.drivers.CloseIdleConnections(record.listed.Address)
 		}
+		r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
 	}
+	slog.Info("newer endpoint list learned from peer", "revision", view.revision,
+		"held_revision", r.list.revision, "departed", departed)
+	r.withholdDisallowed(now)
 }
 
-// heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
-func (r *Router) gossipReceived(from int, text []byte, now monotonic.Time) bool {
-	if query, ok := protocol.UnpackQuery(text); ok {
-		r.endpointList.exchange.QueryReceived(from, query, now)
-		return true
-	}
-	view, ok := protocol.UnpackView(text)
-	if !ok {
+// discardPeerView forgets a peer's view, as the list held is current, and reports whether there was one. Where discovery
+// counts from an older revision again, what the view lacked stays unready.
+func (r *Router) discardPeerView(full bool) bool {
+	view := r.list.newerView
+	if view == nil {
 		return false
 	}
-	if learned := r.endpointList.exchange.ViewReceived(from, view, now); learned != nil {
-		r.applyPeerView(learned, now)
+	if full && r.list.revision < view.revision {
+		for _, record := range r.endpoints.byID {
+			if record.departed {
+				record.downRevision = max(record.downRevision, view.revision)
+			}
+		}
 	}
+	r.list.newerView = nil
 	return true
 }
 
-// learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) applyPeerView(learned *gossip.LearnedView, now monotonic.Time) {
-	if learned.Ready != nil {
-		r.endpointList.newerView = &peerView{learned.Revision, learned.Ready}
-		departed := 0
-		for _, i := range r.endpointsByID {
-			if i.removedAt > 0 || i.departedByPeerView == !learned.Ready[i.incarnation] {
-				continue
-			}
-			if i.departedByPeerView = !i.departedByPeerView; i.departedByPeerView {
-				departed++
-				r.drivers.CloseIdleConnections(i.listed.Address)
-			}
-			r.updateBalancer(i, now)
+// restoreDeparted has the endpoints that a discarded view lacked go by discovery again.
+func (r *Router) restoreDeparted(now monotonic.Time) {
+	for _, record := range r.endpoints.byID {
+		if !record.departed {
+			continue
+		}
+		record.departed = false
+		if record.downRevision > r.list.revision {
+			record.listed.Ready = false
+		}
+		if record.removedAt == 0 {
+			r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
 		}
-		slog.Info("a peer told of a newer list", "revision", learned.Revision, "held", r.endpointList.revision,
-			"departed", departed)
-		r.withholdDisallowed(now)
 	}
-	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
 }
 
-// exchangeViews sends what is due between gateways about the list, and gives how long to wait.
+// sendGossip sends the queries and replies that are due, and returns how long to wait for the next.
 func (r *Router) sendGossip(now monotonic.Time) time.Duration {
-	due, wait := r.endpointList.exchange.Tick(now)
-	for _, to := range due.QueryRecipients {
-		r.drivers.SendDatagram(to, protocol.PackQuery(due.Query))
+	due, wait := r.list.exchange.Tick(now)
+	for _, recipient := range due.QueryRecipients {
+		r.drivers.SendDatagram(recipient, protocol.PackQuery(due.Query))
 	}
 	var ready []uint32
 	for _, reply := range due.Replies {
 		if !reply.IncludeReady {
-			r.drivers.SendDatagram(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
+			view := gossip.View{Revision: reply.Revision, Age: reply.Age}
+			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
 			continue
 		}
 		if ready == nil {
-			ready = r.readyIncarnations()
+			ready = r.endpoints.readyIncarnations()
 		}
 		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.ViewEach) {
 			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
@@ -109,28 +126,14 @@
 	return wait
 }
 
-// readyIncarnations are those that discovery lists as ready, in their order.
-func (r *Router) readyIncarnations() []uint32 {
+// readyIncarnations returns what discovery lists as ready, in ascending order.
+func (t *endpointTable) readyIncarnations() []uint32 {
 	var ready []uint32
-	for _, i := range r.endpointsByID {
-		if i.listed.Ready && i.removedAt == 0 {
-			ready = append(ready, i.incarnation)
+	for _, record := range t.byID {
+		if record.listed.Ready && record.removedAt == 0 {
+			ready = append(ready, record.incarnation)
 		}
 	}
 	slices.Sort(ready)
 	return ready
 }
-
-// Heard tells a datagram of another gateway.
-func (r *Router) DatagramReceived(from int, text []byte) {
-	r.events <- func(now monotonic.Time) {
-		if r.endpointList.exchange != nil && r.gossipReceived(from, text, now) {
-			return
-		}
-		if t := protocol.UnpackTotals(text, from, r.endpointByHash); t != nil {
-			r.balancer.EvidenceReceived(t, now)
-		} else if f := protocol.UnpackFinding(text, from, r.endpointByHash); f != nil {
-			r.balancer.VoterReportReceived(f, now)
-		}
-	}
-}
--- a/internal/routing/requestlog.go
+++ b/internal/routing/requestlog.go
@@ -8,44 +8,54 @@
 	"laurelring/decision"
 )
 
-// trace writes what happens to each request to the log, at level debug: when it came, each delivery with the list it
-// was sent by, how each ended, and the final answer with its reason. It costs nothing at other levels.
+// requestLog logs the course of each request at level debug: its arrival, each attempt with the revision of the endpoint
+// list that it went by, each outcome, and the final answer with its reason. At other levels it costs nothing.
 type requestLog struct{ enabled bool }
 
+// The final answers, as they are logged.
+const (
+	answerServed   = "served"
+	answerRejected = "rejected"
+	answerFailed   = "failed"
+)
+
 func newRequestLog() requestLog {
 	return requestLog{enabled: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
 }
 
-func (t requestLog) accepted(id string, left time.Duration) {
-	if t.enabled {
-		slog.Debug("a request is taken", "id", id, "left", time.Duration(left))
+func (l requestLog) accepted(id string, remaining time.Duration) {
+	if l.enabled {
+		slog.Debug("request accepted", "request_id", id, "remaining", remaining)
 	}
 }
 
-func (t requestLog) attemptStarted(id string, to *endpointRecord, revision int64, number int) {
-	if t.enabled {
-		slog.Debug("a delivery is sent", "id", id, "instance", to.listed.ID, "number", number, "revision", revision)
+func (l requestLog) attemptStarted(id string, endpoint *endpointRecord, revision int64, number int) {
+	if l.enabled {
+		slog.Debug("attempt started", "request_id", id, "endpoint", endpoint.listed.ID, "attempt", number,
+			"revision", revision)
 	}
 }
 
-func (t requestLog) attemptFinished(id string, to *endpointRecord, how decision.Outcome, took time.Duration) {
-	if t.enabled {
-		name := ""
-		if to != nil { // it may have been forgotten meanwhile
-			name = to.listed.ID
-		}
-		slog.Debug("a delivery has ended", "id", id, "instance", name, "outcome", how, "took", time.Duration(took))
+// attemptFinished is given no endpoint where it has been forgotten meanwhile.
+func (l requestLog) attemptFinished(id string, endpoint *endpointRecord, outcome decision.Outcome, duration time.Duration) {
+	if !l.enabled {
+		return
+	}
+	name := ""
+	if endpoint != nil {
+		name = endpoint.listed.ID
 	}
+	slog.Debug("attempt finished", "request_id", id, "endpoint", name, "outcome", outcome, "duration", duration)
 }
 
-func (t requestLog) answered(id, how string, why decision.RejectReason) {
-	if t.enabled {
-		slog.Debug("a request has its final answer", "id", id, "answer", how, "reason", why)
+func (l requestLog) answered(id, answer string, reason decision.RejectReason) {
+	if l.enabled {
+		slog.Debug("request answered", "request_id", id, "answer", answer, "reason", reason)
 	}
 }
 
-func (t requestLog) clientDisconnected(id string) {
-	if t.enabled {
-		slog.Debug("a client has left", "id", id)
+func (l requestLog) clientDisconnected(id string) {
+	if l.enabled {
+		slog.Debug("client disconnected", "request_id", id)
 	}
 }
--- a/internal/routing/rollout.go
+++ b/internal/routing/rollout.go
@@ -5,49 +5,114 @@
 	"slices"
 
 	"laurelring/decision"
+	"laurelring/decision/gossip"
 	"laurelring/decision/monotonic"
+	"laurelring/internal/protocol"
 )
 
-// meet tells of builds as they are first listed.
-func (r *Router) verifyBuild(build int) {
-	if r.drivers.VerifyBuild == nil || slices.Contains(r.knownBuilds, build) {
+// maxKnownBuilds bounds the builds that are remembered as listed. One that is forgotten is verified again.
+const maxKnownBuilds = 64
+
+// rolloutState is what the router remembers of builds and their rollout.
+type rolloutState struct {
+	knownBuilds []int           // given to VerifyBuild, the earliest first
+	logged      rolloutPosition // the latest that was logged
+}
+
+// rolloutPosition is where a build stands in its rollout.
+type rolloutPosition struct {
+	build, stage int
+	phase        decision.RolloutPhase
+}
+
+// noteBuild remembers a build as listed, and reports whether it was not known.
+func (s *rolloutState) noteBuild(build int) bool {
+	if slices.Contains(s.knownBuilds, build) {
+		return false
+	}
+	s.knownBuilds = append(s.knownBuilds, build)
+	if len(s.knownBuilds) > maxKnownBuilds {
+		s.knownBuilds = s.knownBuilds[1:]
+	}
+	return true
+}
+
+// RolloutStatusReceived posts where the newest build stands.
+func (r *Router) RolloutStatusReceived(status decision.RolloutStatus) {
+	r.events <- func(now monotonic.Time) {
+		r.logRolloutStatus(status)
+		r.balancer.RolloutChanged(status, now)
+		r.withholdDisallowed(now)
+	}
+}
+
+// logRolloutStatus logs a status where its build, stage or phase differs from the latest.
+func (r *Router) logRolloutStatus(status decision.RolloutStatus) {
+	position := rolloutPosition{build: status.Build, stage: status.Stage, phase: status.Phase}
+	if position == r.rollout.logged {
 		return
 	}
-	if r.knownBuilds = append(r.knownBuilds, build); len(r.knownBuilds) > maxKnownBuilds {
-		r.knownBuilds = r.knownBuilds[1:]
+	r.rollout.logged = position
+	slog.Info("rollout status changed", "build", status.Build, "stage", status.Stage, "phase", status.Phase,
+		"exposure_cap", status.ExposureCap)
+}
+
+// verifyBuild has a build verified when it is first listed.
+func (r *Router) verifyBuild(build int) {
+	if r.drivers.VerifyBuild != nil && r.rollout.noteBuild(build) {
+		r.drivers.VerifyBuild(build)
 	}
-	r.drivers.VerifyBuild(build)
 }
 
-// Vouched tells whether a build is what was signed.
-func (r *Router) BuildVerified(build int, so bool) {
-	select {
-	case r.events <- func(now monotonic.Time) {
-		r.balancer.BuildVerified(build, so)
+// BuildVerified posts whether a build is what was signed. After the router's end it does nothing, as whoever verifies
+// builds is waited for then.
+func (r *Router) BuildVerified(build int, verified bool) {
+	posted := func(now monotonic.Time) {
+		r.balancer.BuildVerified(build, verified)
 		r.withholdDisallowed(now)
-	}:
-	case <-r.done: // whoever tells is waited for at the end
+	}
+	select {
+	case r.events <- posted:
+	case <-r.done:
 	}
 }
 
-// News tells where the newest build stands.
-func (r *Router) RolloutStatusReceived(status decision.RolloutStatus) {
+// castVotes has votes cast at the rollout controller.
+func (r *Router) castVotes(votes []decision.Vote) {
+	for _, vote := range votes {
+		slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", vote.Verdict)
+		r.drivers.CastVote(vote)
+	}
+}
+
+// VoteAnswered posts the outcome of a vote.
+func (r *Router) VoteAnswered(outcome decision.Outcome) {
 	r.events <- func(now monotonic.Time) {
-		if here := [3]int{status.Build, status.Stage, int(status.Phase)}; here != r.loggedStatus {
-			slog.Info("news", "build", status.Build, "stage", status.Stage, "phase", status.Phase, "cap", status.ExposureCap)
-			r.loggedStatus = here
+		if outcome != decision.OutcomeSuccess {
+			slog.Warn("vote not counted", "outcome", outcome)
 		}
-		r.balancer.RolloutChanged(status, now)
-		r.withholdDisallowed(now)
+		r.balancer.VoteAnswered(outcome, now)
 	}
 }
 
-// Voted tells the answer to a vote.
-func (r *Router) VoteAnswered(how decision.Outcome) {
-	r.events <- func(now monotonic.Time) {
-		if how != decision.OutcomeSuccess {
-			slog.Warn("a vote did not count", "outcome", how)
+// sendEvidence sends the reports on builds that are due to other gateways.
+func (r *Router) sendEvidence(due *decision.DueWork) {
+	if due.EvidenceReport != nil {
+		datagram := protocol.PackTotals(due.EvidenceReport, r.endpoints.hashOf)
+		for _, recipient := range due.EvidenceRecipients {
+			r.drivers.SendDatagram(recipient, datagram)
 		}
-		r.balancer.VoteAnswered(how, now)
+	}
+	if due.VoterReport != nil {
+		r.drivers.SendDatagram(gossip.AllGateways, protocol.PackFinding(due.VoterReport, r.endpoints.hashOf))
+	}
+}
+
+// evidenceReceived takes in another gateway's report on a build. Any other datagram is ignored.
+func (r *Router) evidenceReceived(sender int, datagram []byte, now monotonic.Time) {
+	if report := protocol.UnpackTotals(datagram, sender, r.endpoints.endpointByHash); report != nil {
+		r.balancer.EvidenceReceived(report, now)
+	} else if report := protocol.UnpackFinding(datagram, sender, r.endpoints.endpointByHash); report != nil {
+		r.balancer.VoterReportReceived(report, now)
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,53 +1,43 @@
-// Package routing owns the module: one goroutine tells it every event in the order it came, asks it, and
-// obeys. It decides nothing.
+// Package routing runs a gateway's balancer: one goroutine owns the balancer, the requests in flight, the attempt timers
+// and the endpoint records. Others post events to its one bounded queue. The router hands each event to the balancer in
+// the order of arrival, asks it what is due, and carries that out by its drivers. It makes no decision of its own.
 package routing
 
 import (
-	"container/heap"
 	"context"
-	"log/slog"
 	"sync/atomic"
 	"time"
 
 	"laurelring/decision"
 	"laurelring/decision/monotonic"
-	"laurelring/internal/protocol"
 )
 
-const (
-	eventQueueSize     = 1024             // that wait; whoever brings a further one waits
-	removedEndpointTTL = 60 * time.Second // an instance that the list no longer names is remembered so long
-	maxKnownBuilds     = 64               // that are remembered
+// eventQueueSize bounds the events that wait for the router. Posting a further one blocks.
+const eventQueueSize = 1024
 
-	stallThreshold       = time.Duration(100 * time.Millisecond) // later than this the module is told how late a turn comes
-	loggedStallThreshold = time.Duration(500 * time.Millisecond)
-)
+// event is executed on the router's goroutine, at the moment at which its turn came.
+type event func(now monotonic.Time)
 
-// Router keeps the commands in hand and the timers.
+// Router owns a gateway's balancer, its requests and its timers. Its methods post events and may be called by any
+// goroutine; they block while the event queue is full.
 type Router struct {
 	balancer         *decision.Balancer
-	utilizationField string // the field of a load report that tells how busy an instance is
+	utilizationField string
 	drivers          Drivers
-	events           chan func(now monotonic.Time)
-	done             chan struct{} // closed at the end
 	clock            func() monotonic.Time
+	events           chan event
+	done             chan struct{} // closed when Run returns
+
+	requests   requestTable
+	timers     attemptTimers
+	endpoints  endpointTable
+	list       endpointListState
+	rollout    rolloutState
+	stall      stallDetector
+	requestLog requestLog
 
-	requests         map[*decision.Request]*activeRequest
-	requestsByID     map[string]*activeRequest
-	requestsByClient map[Client]*activeRequest
-	endpointsByID    map[string]*endpointRecord
-	endpointsByHash  map[uint32]*decision.Endpoint
-	endpointRecords  map[*decision.Endpoint]*endpointRecord
-	shutdownAt       monotonic.Time // when the gateway is ended for good; 0 while it is not to
-	knownBuilds      []int          // listed lately
-	queueLength      atomic.Int64   // commands that are held
-	loggedStatus     [3]int         // the build, stage and phase last told
-	timers           attemptTimers
-	nextSequence     int
-	clockReadAt      monotonic.Time // when the clock was last looked at; 0 where turns are not Run's
-	nextTurnBy       monotonic.Time // when the next turn is to come at the latest
-	requestLog       requestLog
-	endpointList     endpointListState
+	shutdownAt  monotonic.Time // by when every request is to be answered; 0 before a shutdown
+	queueLength atomic.Int64   // requests that the balancer has queued
 }
 
 // New returns a router. Its methods may be called at once; events are processed once Run is called.
@@ -55,103 +45,99 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	return &Router{balancer: config.Balancer, utilizationField: config.UtilizationField, drivers: config.Drivers, clock: config.Clock,
-		events: make(chan func(time.Duration), eventQueueSize), done: make(chan struct{}),
-		requests: map[*decision.Request]*activeRequest{}, requestsByID: map[string]*activeRequest{}, requestsByClient: map[Client]*activeRequest{},
-		endpointsByID: map[string]*endpointRecord{}, endpointsByHash: map[uint32]*decision.Endpoint{},
-		endpointRecords: map[*decision.Endpoint]*endpointRecord{}, requestLog: newRequestLog(), endpointList: endpointListState{loggedTrusted: true, exchange: config.Gossip}}, nil
+	return &Router{
+		balancer:         config.Balancer,
+		utilizationField: config.UtilizationField,
+		drivers:          config.Drivers,
+		clock:            config.Clock,
+		events:           make(chan event, eventQueueSize),
+		done:             make(chan struct{}),
+		requests:         newRequestTable(),
+		endpoints:        newEndpointTable(),
+		list:             endpointListState{exchange: config.Gossip, loggedTrusted: true},
+		requestLog:       newRequestLog(),
+	}, nil
 }
 
-// Run tells, asks and obeys until the context ends.
+// Run processes events and timers until the context ends.
 func (r *Router) Run(ctx context.Context) {
 	defer close(r.done)
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	r.clockReadAt = r.clock()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	r.stall.start(r.clock())
 	for {
 		select {
-		case event := <-r.events:
-			event(r.readClock())
-		case <-alarm.C:
+		case handle := <-r.events:
+			handle(r.readClock())
+		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
 		wait := r.turn()
-		r.nextTurnBy = r.clockReadAt + wait
-		alarm.Reset(time.Duration(wait))
+		r.stall.expectTurnWithin(wait)
+		timer.Reset(wait)
 	}
 }
 
-// turn tells all that has come meanwhile, gives up what is out for too long, asks the module and obeys; it
-// gives how long to wait.
+// turn processes the events that wait, then the timers, then what the balancer says is due. It returns how long to wait
+// for the next turn if no event comes.
 func (r *Router) turn() time.Duration {
-	for more := true; more; {
-		select {
-		case event := <-r.events:
-			event(r.readClock())
-		default:
-			more = false
-		}
-	}
+	r.processWaitingEvents()
 	now := r.readClock()
 	r.cancelOverdue(now)
 	wait := r.performDueWork(now)
-	if r.endpointList.exchange != nil {
+	if r.list.exchange != nil {
 		wait = min(wait, r.sendGossip(now))
 	}
 	r.logLease(now)
 	r.queueLength.Store(int64(r.balancer.QueueLength()))
-	if len(r.timers) > 0 {
-		wait = min(wait, r.timers[0].cancelAt-now)
-	}
-	return max(wait, 0)
+	return max(r.timers.limitWait(wait, now), 0)
 }
 
-// Ending tells that the gateway is ended for good after so long: by then every command has its final answer.
-func (r *Router) ShutdownWithin(within time.Duration) {
-	r.events <- func(now monotonic.Time) {
-		r.shutdownAt = now + within
-		for cmd := range r.requests { // each by itself: their order does not matter
-			r.balancer.ShortenDeadline(cmd, r.shutdownAt)
-		}
-		for _, f := range r.timers {
-			f.cancelAt = min(f.cancelAt, r.shutdownAt)
+// processWaitingEvents processes events until none waits.
+func (r *Router) processWaitingEvents() {
+	for {
+		select {
+		case handle := <-r.events:
+			handle(r.readClock())
+		default:
+			return
 		}
-		heap.Init(&r.timers)
 	}
 }
 
-// Busy tells whether commands wait for room. It may be asked by anyone.
-func (r *Router) HasQueuedRequests() bool { return r.queueLength.Load() > 0 }
-
-// chores carries out what is due and gives how long to wait.
+// performDueWork carries out what the balancer says is due, and returns how long to wait before it is asked again.
 func (r *Router) performDueWork(now monotonic.Time) time.Duration {
 	wait, due := r.balancer.Tick(now)
-	for _, cmd := range due.Requests {
-		if c := r.requests[cmd]; c != nil {
-			r.apply(c, r.balancer.Route(cmd, now), now)
+	for _, queued := range due.Requests {
+		if request := r.requests.byDecision[queued]; request != nil {
+			r.apply(request, r.balancer.Route(queued, now), now)
 		}
 	}
 	if due.PollDiscovery {
 		r.drivers.PollDiscovery()
 	}
-	for _, dl := range due.CancelAttempts {
-		if c := r.requests[dl.Request]; c != nil && c.attempts[dl] != nil {
-			r.cancelAttempt(c.attempts[dl], decision.OutcomeCanceled, now)
+	for _, canceled := range due.CancelAttempts {
+		request := r.requests.byDecision[canceled.Request]
+		if request != nil && request.attempts[canceled] != nil {
+			r.cancelAttempt(request.attempts[canceled], decision.OutcomeCanceled, now)
 		}
 	}
-	if due.EvidenceReport != nil {
-		text := protocol.PackTotals(due.EvidenceReport, r.endpointHash)
-		for _, to := range due.EvidenceRecipients {
-			r.drivers.SendDatagram(to, text)
+	r.sendEvidence(&due)
+	r.castVotes(due.Votes)
+	return wait
+}
+
+// HasQueuedRequests reports whether requests wait for capacity, as of the latest turn. It does not block.
+func (r *Router) HasQueuedRequests() bool { return r.queueLength.Load() > 0 }
+
+// ShutdownWithin has every request, in flight or to come, answered within a span from now.
+func (r *Router) ShutdownWithin(span time.Duration) {
+	r.events <- func(now monotonic.Time) {
+		r.shutdownAt = now + span
+		for request := range r.requests.byDecision { // each is independent of the others: any order will do
+			r.balancer.ShortenDeadline(request, r.shutdownAt)
 		}
+		r.timers.limit(r.shutdownAt)
 	}
-	if due.VoterReport != nil {
-		r.drivers.SendDatagram(-1, protocol.PackFinding(due.VoterReport, r.endpointHash))
-	}
-	for _, v := range due.Votes {
-		slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", v.Verdict)
-		r.drivers.CastVote(v)
-	}
-	return wait
 }
--- a/internal/routing/stall.go
+++ b/internal/routing/stall.go
@@ -7,26 +7,52 @@
 	"laurelring/decision/monotonic"
 )
 
-// look reads the clock, and notices if the process stood still since the last time, or other work kept the processor.
-// Every event is told with a look of its own: a standstill may come amid a turn as well as between two.
-func (r *Router) readClock() time.Duration {
+const (
+	// stallThreshold is how late the clock may be read before the balancer is notified of a stall.
+	stallThreshold = 100 * time.Millisecond
+	// loggedStallThreshold is the same for the log.
+	loggedStallThreshold = 500 * time.Millisecond
+)
+
+// stallDetector knows when the clock was last read and when it is to be read again at the latest. Until it is started,
+// as where a test takes the turns, it detects nothing.
+type stallDetector struct {
+	clockReadAt monotonic.Time // 0 before the start
+	nextTurnBy  monotonic.Time
+}
+
+func (d *stallDetector) start(now monotonic.Time) { d.clockReadAt = now }
+
+// expectTurnWithin sets the wait for the next turn, from the latest reading of the clock on.
+func (d *stallDetector) expectTurnWithin(wait time.Duration) { d.nextTurnBy = d.clockReadAt + wait }
+
+// delay returns how much later than due the clock is read now.
+func (d *stallDetector) delay(now monotonic.Time) time.Duration {
+	if d.clockReadAt <= 0 {
+		return 0
+	}
+	late := now - max(d.clockReadAt, d.nextTurnBy)
+	d.clockReadAt = now
+	return late
+}
+
+// readClock returns the present moment. It notices where the process stood still since the clock was last read, or other
+// work kept the processor. The clock is read for each event, as a stall may come amid a turn as well as between two.
+func (r *Router) readClock() monotonic.Time {
 	now := r.clock()
-	if r.clockReadAt > 0 {
-		r.detectStall(now, now-max(r.clockReadAt, r.nextTurnBy))
-		r.clockReadAt = now
+	if late := r.stall.delay(now); late > stallThreshold {
+		r.processStalled(late, now)
 	}
 	return now
 }
 
-// noticeHeldUp tells the module how much later than it was due the clock is looked at.
-func (r *Router) detectStall(now monotonic.Time, late time.Duration) {
-	if late > stallThreshold {
-		if late > loggedStallThreshold {
-			slog.Warn("the gateway stood still", "for", time.Duration(late).Round(time.Millisecond))
-		}
-		r.balancer.ProcessStalled(late, now)
-		if r.endpointList.exchange != nil && !r.balancer.EndpointListTrusted(now) {
-			r.endpointList.exchange.DiscoveryLost(now)
-		}
+// processStalled notifies the balancer of a stall. Where the endpoint list's lease is over by now, gossip is to help.
+func (r *Router) processStalled(late time.Duration, now monotonic.Time) {
+	if late > loggedStallThreshold {
+		slog.Warn("process stalled", "duration", late.Round(time.Millisecond))
+	}
+	r.balancer.ProcessStalled(late, now)
+	if r.list.exchange != nil && !r.balancer.EndpointListTrusted(now) {
+		r.list.exchange.DiscoveryLost(now)
 	}
 }
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -1,27 +1,83 @@
 package routing
 
-// timers is a heap of what is out, by the moment until which it may be.
-type attemptTimers []*activeAttempt
+import (
+	"container/heap"
+	"time"
 
-func (t attemptTimers) Len() int { return len(t) }
+	"laurelring/decision/monotonic"
+)
 
-func (t attemptTimers) Less(a, b int) bool {
-	return t[a].cancelAt < t[b].cancelAt || t[a].cancelAt == t[b].cancelAt && t[a].sequence < t[b].sequence
+// attemptTimers holds the attempts in flight, ordered by when they are to be canceled and then by when they were started,
+// so that the same events lead to the same actions.
+type attemptTimers struct {
+	heap         attemptHeap
+	nextSequence int
 }
 
-func (t attemptTimers) Swap(a, b int) {
-	t[a], t[b] = t[b], t[a]
-	t[a].heapIndex, t[b].heapIndex = a, b
+func (t *attemptTimers) add(attempt *activeAttempt) {
+	attempt.sequence = t.nextSequence
+	t.nextSequence++
+	heap.Push(&t.heap, attempt)
 }
 
-func (t *attemptTimers) Push(f any) {
-	f.(*activeAttempt).heapIndex = len(*t)
-	*t = append(*t, f.(*activeAttempt))
+func (t *attemptTimers) remove(attempt *activeAttempt) { heap.Remove(&t.heap, attempt.heapIndex) }
+
+// reset gives an attempt another moment to be canceled at.
+func (t *attemptTimers) reset(attempt *activeAttempt, cancelAt monotonic.Time) {
+	attempt.cancelAt = cancelAt
+	heap.Fix(&t.heap, attempt.heapIndex)
+}
+
+// limit has every attempt canceled at a moment at the latest.
+func (t *attemptTimers) limit(cancelAt monotonic.Time) {
+	for _, attempt := range t.heap {
+		attempt.cancelAt = min(attempt.cancelAt, cancelAt)
+	}
+	heap.Init(&t.heap)
+}
+
+// overdue returns the first attempt that is to be canceled by now, or nil.
+func (t *attemptTimers) overdue(now monotonic.Time) *activeAttempt {
+	if len(t.heap) == 0 || t.heap[0].cancelAt > now {
+		return nil
+	}
+	return t.heap[0]
+}
+
+// limitWait returns a wait, cut short by the first timer.
+func (t *attemptTimers) limitWait(wait time.Duration, now monotonic.Time) time.Duration {
+	if len(t.heap) == 0 {
+		return wait
+	}
+	return min(wait, t.heap[0].cancelAt-now)
+}
+
+// attemptHeap implements heap.Interface.
+type attemptHeap []*activeAttempt
+
+func (h attemptHeap) Len() int { return len(h) }
+
+func (h attemptHeap) Less(i, j int) bool {
+	if h[i].cancelAt != h[j].cancelAt {
+		return h[i].cancelAt < h[j].cancelAt
+	}
+	return h[i].sequence < h[j].sequence
+}
+
+func (h attemptHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+func (h *attemptHeap) Push(element any) {
+	attempt := element.(*activeAttempt)
+	attempt.heapIndex = len(*h)
+	*h = append(*h, attempt)
 }
 
-func (t *attemptTimers) Pop() any {
-	last := len(*t) - 1
-	f := (*t)[last]
-	*t = (*t)[:last]
-	return f
+func (h *attemptHeap) Pop() any {
+	last := len(*h) - 1
+	attempt := (*h)[last]
+	*h = (*h)[:last]
+	return attempt
 }
