--- a/decision/config.go
+++ b/decision/config.go
@@ -5,6 +5,9 @@
 	"fmt"
 	"math"
 	"time"
+
+	"laurelring/decision/discovery"
+	"laurelring/decision/seeded"
 )
 
 // Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
@@ -113,7 +116,7 @@
 	}
 	gateways := max(config.Gateways, 1)
 	lb := &Balancer{
-		seed:                config.Seed,
+		random:              seeded.New(config.Seed),
 		rank:                config.Rank,
 		gateways:            gateways,
 		zone:                config.Zone,
@@ -126,11 +129,13 @@
 			maxRetryAfter: config.Attempts.MaxRetryAfter,
 			crossZoneCost: config.Costs.CrossZone,
 		},
-		canary:    newCanaryState(config.Exposure),
+		canary:    newCanaryState(config.Exposure, len(config.OpTypes), max(config.Tick, time.Millisecond)),
 		slowStart: newSlowStartState(config.SlowStart),
 		rollout:   newRolloutState(config.Rollout, config.Costs, gateways),
 	}
-	lb.discoveryPolling.required, lb.discoveryPolling.due = config.PollDiscovery, config.PollDiscovery
+	if config.PollDiscovery {
+		lb.endpointList.polling = discovery.NewPacing()
+	}
 	for _, opType := range config.OpTypes {
 		lb.opTypes = append(lb.opTypes, newOpType(len(lb.opTypes), opType))
 	}
@@ -169,21 +174,6 @@
 	}
 }
 
-func newCanaryState(config ExposureConfig) canaryState {
-	return canaryState{
-		window:          config.Window,
-		allowance:       config.Allowance,
-		perOpType:       config.PerOpType,
-		closedStages:    config.ClosedStages,
-		stickyKeys:      config.StickyKeys,
-		stageCaps:       config.StageCaps,
-		build:           -1,
-		attemptsByBuild: map[int][]slidingWindow{},
-		stickyBuilds:    map[uint64]int{},
-		keyCounts:       map[uint64]int{},
-	}
-}
-
 func newSlowStartState(config SlowStartConfig) slowStartState {
 	return slowStartState{
 		initialCapacity:  config.InitialCapacity,
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,7 +7,7 @@
 // candidates are the instances that may have this command; those in doubt only where no other may serve at
 // all, and now and then: a machine that fails fast is never full and would draw everything.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) (trial, others, doubtful []*Endpoint) {
-	full, pin := false, lb.mayStick(request)
+	full, pin := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
 	open, power := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
 		on := lb.isCanary(endpoint.build)
@@ -23,7 +23,7 @@
 			trial = append(trial, endpoint)
 		case sound:
 			others = append(others, endpoint)
-		case room && endpoint.recentAttempts.count(now-ejectedProbeInterval) == 0 && !(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now)):
+		case room && endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 && !(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now)):
 			doubtful = append(doubtful, endpoint)
 		}
 	}
@@ -56,8 +56,8 @@
 // fewer draws two instances and takes the one with fewer of ours in flight for its size and speed.
 func (lb *Balancer) leastLoadedOfTwo(some []*Endpoint, request *Request) *Endpoint {
 	n := len(some)
-	first := lb.draw(n)
-	a, b := some[first], some[(first+1+lb.draw(max(n-1, 1)))%n]
+	first := lb.random.Below(n)
+	a, b := some[first], some[(first+1+lb.random.Below(max(n-1, 1)))%n]
 	if lb.loadOf(b, request) < lb.loadOf(a, request) {
 		return b
 	}
@@ -67,7 +67,7 @@
 // burden is what decides between two instances: our own in flight there.
 func (lb *Balancer) loadOf(endpoint *Endpoint, request *Request) float64 {
 	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, 0.01)
-	for _, attempt := range request.Attempts {
+	for _, attempt := range request.attempts {
 		if attempt.Endpoint == endpoint {
 			load *= 4 // it has failed this command already
 		}
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -35,7 +35,7 @@
 	request.attempts[attempt.state] = attempt
 	r.timers.add(attempt)
 	endpoint := r.endpoints.byDecision[verdict.Endpoint]
-	r.requestLog.attemptStarted(request.id, endpoint, r.list.revision, attempt.state.Number)
+	r.requestLog.attemptStarted(request.id, endpoint, r.list.revision, attempt.state.Number())
 	attempt.handle = r.drivers.StartAttempt(AttemptRequest{
 		Address:  endpoint.listed.Address,
 		Deadline: time.Now().Add(verdict.Timeout),
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -115,7 +115,7 @@
 
 // releaseCompleted forgets the client of a completed request, and the request once none of its attempts is in flight.
 func (r *Router) releaseCompleted(request *activeRequest) {
-	if !request.state.Completed {
+	if !request.state.Completed() {
 		return
 	}
 	if request.client != nil {
