--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -204,8 +204,10 @@
 	defer ln.Close()
 	clients, err := transport.NewClientServer(transport.ClientServerConfig{
 		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(memory)), MaxRemaining: longest,
-		OpTypes:      named,
-		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.RequestArrived(request, response) },
+		OpTypes: named,
+		OnRequest: func(request protocol.Request, response *transport.PendingResponse) {
+			r.RequestArrived(request, response)
+		},
 		OnDisconnect: func(response *transport.PendingResponse) { r.ClientDisconnected(response) },
 	})
 	if err != nil {
