--- a/decision/gossip/assembly.go
+++ b/decision/gossip/assembly.go
@@ -5,47 +5,47 @@
 )
 
 // partsMost bounds how many parts one view has: more instances than a fleet has do not fit.
-const partsMost = 255
+const maxParts = 255
 
 // assembly puts the parts of one sender's view of one revision together. A newer revision, or another sender's view
 // once it is whole first, takes its place.
 type assembly struct {
-	views map[int]*partial // by sender
+	views map[int]*partialView // by sender
 }
 
 // sendersMost bounds the views that are put together at once.
-const sendersMost = 8
+const maxSenders = 8
 
 // partial is a view of which some parts have come.
-type partial struct {
+type partialView struct {
 	revision int64
 	parts    int
-	come     map[int][]uint32
+	received map[int][]uint32
 }
 
 // add takes a part in. It gives the incarnations that are ready once all parts are there, or nil.
 func (a *assembly) add(from int, v View) map[uint32]bool {
-	if v.Parts <= 0 || v.Parts > partsMost || v.Part < 0 || v.Part >= v.Parts {
+	if v.Parts <= 0 || v.Parts > maxParts || v.Part < 0 || v.Part >= v.Parts {
 		return nil
 	}
 	p := a.views[from]
 	if p == nil || p.revision != v.Revision || p.parts != v.Parts {
-		if p == nil && len(a.views) >= sendersMost {
+		if p == nil && len(a.views) >= maxSenders {
 			a.views = nil
 		}
 		if a.views == nil {
-			a.views = map[int]*partial{}
+			a.views = map[int]*partialView{}
 		}
-		p = &partial{revision: v.Revision, parts: v.Parts, come: map[int][]uint32{}}
+		p = &partialView{revision: v.Revision, parts: v.Parts, received: map[int][]uint32{}}
 		a.views[from] = p
 	}
-	p.come[v.Part] = v.Ready
-	if len(p.come) < p.parts {
+	p.received[v.Part] = v.Ready
+	if len(p.received) < p.parts {
 		return nil
 	}
 	a.views = nil
 	ready := map[uint32]bool{}
-	for _, some := range p.come {
+	for _, some := range p.received {
 		for _, one := range some {
 			ready[one] = true
 		}
@@ -56,7 +56,7 @@
 // Split divides a view into parts of so many incarnations at most. One of no incarnations is one part.
 func SplitView(revision int64, age time.Duration, ready []uint32, each int) []View {
 	parts := max(1, (len(ready)+each-1)/each)
-	if parts > partsMost {
+	if parts > maxParts {
 		return nil
 	}
 	views := make([]View, parts)
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -22,38 +22,35 @@
 )
 
 const (
-	ms = time.Duration(1e6)
-	s  = time.Duration(1e9)
-
-	queryPeers = 3        // peers that are asked at once
-	queryFirst = 100 * ms // at random: how soon after a failure the first query goes out
-	queryEvery = 500 * ms // and up to as much more at random
+	peersPerQuery      = 3                      // peers that are asked at once
+	maxFirstQueryDelay = 100 * time.Millisecond // at random: how soon after a failure the first query goes out
+	queryInterval      = 500 * time.Millisecond // and up to as much more at random
 	// A watch is answered at the latest this long after the last answer. One that is later may have fallen silent.
-	freshFor = 2800 * ms
+	confirmationTTL = 2800 * time.Millisecond
 	// A reply goes out this late, at random, so that others' replies are heard before.
-	replyWithin = 100 * ms
+	maxReplyDelay = 100 * time.Millisecond
 	// askersMany is how many gateways must have queried within askersSpan for a reply to go to all. One alone hears
 	// only a few of a whole fleet's queries.
-	askersMany = 2
-	askersSpan = s
+	broadcastThreshold = 2
+	broadcastWindow    = time.Second
 	// A reply is not worth sending to one that knows nearly as much.
-	newerBy = 300 * ms
+	minAgeGain = 300 * time.Millisecond
 	// A reply that was heard so long before a query, or after it, makes another needless.
-	heardBefore = 300 * ms
+	replyReuseSpan = 300 * time.Millisecond
 	// A peer's view that discovery does not catch up with for so long is given up: discovery may count anew.
-	ahead = 6 * s
+	newerViewTTL = 6 * time.Second
 	// The list that a gateway starts with is taken to be so old.
-	startAge = 3600 * s
+	initialAge = 3600 * time.Second
 )
 
 // crowdOver is the time constant over which queries heard are counted.
-const crowdOver = 2 * s
+const queryDecay = 2 * time.Second
 
 // ToAll is the number that stands for all gateways.
 const AllGateways = -1
 
 // none stands for no gateway.
-const none = -1
+const noGateway = -1
 
 // Query asks a peer what it knows of the list.
 type Query struct {
@@ -104,57 +101,57 @@
 
 // Exchange is one gateway's part in it.
 type Exchange struct {
-	rank, peers int
-	draw        func(below int64) int64
-
-	following   bool           // a watch of discovery stands
-	confirmedAt monotonic.Time // when discovery last answered
-	held        int64          // the revision it then told
-	known       int64          // the revision of which all drains and removals are known, from discovery or peers
-	currentAt   monotonic.Time // when that was last known to be current
-
-	queryAt monotonic.Time
-	source  int            // a gateway of which a newer revision was heard that could not be taken in, or none
-	askers  []asker        // the latest, each once, askersMany at most
-	single  []request      // replies that wait to go to one gateway
-	all     *request       // the one that waits to go to all, or nil
-	heard   confirmation   // the latest reply that was heard
-	queries float64        // heard lately, fading
-	heardAt monotonic.Time // when they were last counted
-	parts   assembly
+	rank, gateways int
+	random         func(below int64) int64
+
+	watchEstablished bool           // a watch of discovery stands
+	confirmedAt      monotonic.Time // when discovery last answered
+	heldRevision     int64          // the revision it then told
+	knownRevision    int64          // the revision of which all drains and removals are known, from discovery or peers
+	knownCurrentAt   monotonic.Time // when that was last known to be current
+
+	nextQueryAt      monotonic.Time
+	newerSource      int            // a gateway of which a newer revision was heard that could not be taken in, or none
+	recentQueriers   []querier      // the latest, each once, askersMany at most
+	unicastReplies   []pendingReply // replies that wait to go to one gateway
+	broadcastReply   *pendingReply  // the one that waits to go to all, or nil
+	latestReply      heardReply     // the latest reply that was heard
+	decayedQueries   float64        // heard lately, fading
+	queriesCountedAt monotonic.Time // when they were last counted
+	assembly         assembly
 }
 
 // asker is a gateway that has queried, and when it last did.
-type asker struct {
-	rank int
-	at   monotonic.Time
+type querier struct {
+	rank      int
+	queriedAt monotonic.Time
 }
 
 // request is a query, or several, that waits for its reply.
-type request struct {
-	to      int
-	whole   bool           // an older revision is held: the ready incarnations are asked for
-	askedAt monotonic.Time // the latest query, of those for the ready incarnations if there are any
-	dueAt   monotonic.Time
+type pendingReply struct {
+	to           int
+	includeReady bool           // an older revision is held: the ready incarnations are asked for
+	queriedAt    monotonic.Time // the latest query, of those for the ready incarnations if there are any
+	dueAt        monotonic.Time
 }
 
 // confirmation is a reply that was heard, or sent to all.
-type confirmation struct {
-	revision int64
-	heardAt  monotonic.Time
-	whole    bool // it had the ready incarnations
+type heardReply struct {
+	revision      int64
+	heardAt       monotonic.Time
+	includesReady bool // it had the ready incarnations
 }
 
 // serves tells whether a reply that was heard makes another to this asker needless. Where the ready incarnations are
 // asked for, one heard before did not bring them.
-func (c confirmation) serves(one *request, revision int64) bool {
+func (c heardReply) supersedes(one *pendingReply, revision int64) bool {
 	if c.revision < revision {
 		return false
 	}
-	if one.whole {
-		return c.whole && c.heardAt >= one.askedAt
+	if one.includeReady {
+		return c.includesReady && c.heardAt >= one.queriedAt
 	}
-	return c.heardAt > one.askedAt-heardBefore
+	return c.heardAt > one.queriedAt-replyReuseSpan
 }
 
 // Config is what a gateway's exchange is built from.
@@ -167,8 +164,8 @@
 
 // NewExchange returns the exchange of a gateway that starts now, without an answer of discovery.
 func NewExchange(config Config, now monotonic.Time) *Exchange {
-	e := &Exchange{rank: config.Rank, peers: config.Gateways, draw: config.Random, held: config.Revision,
-		known: config.Revision, currentAt: now - startAge, source: none}
+	e := &Exchange{rank: config.Rank, gateways: config.Gateways, random: config.Random, heldRevision: config.Revision,
+		knownRevision: config.Revision, knownCurrentAt: now - initialAge, newerSource: noGateway}
 	e.DiscoveryLost(now)
 	return e
 }
@@ -176,140 +173,140 @@
 // Confirmed tells that discovery has answered, with the revision that is now held. It tells whether the list is so
 // current: not while a peer's view is of a newer revision, unless discovery counts anew.
 func (e *Exchange) DiscoveryConfirmed(revision int64, anew bool, now monotonic.Time) bool {
-	e.following, e.confirmedAt, e.held = true, now, revision
-	if revision < e.known && !anew && now-e.currentAt < ahead {
+	e.watchEstablished, e.confirmedAt, e.heldRevision = true, now, revision
+	if revision < e.knownRevision && !anew && now-e.knownCurrentAt < newerViewTTL {
 		return false
 	}
-	e.known, e.currentAt = revision, now
+	e.knownRevision, e.knownCurrentAt = revision, now
 	return true
 }
 
 // Unconfirmed tells that no watch of discovery stands: a call has failed, or discovery has moved.
 func (e *Exchange) DiscoveryLost(now monotonic.Time) {
-	if e.following || e.queryAt == 0 {
-		e.queryAt = now + e.jitter(queryFirst)
+	if e.watchEstablished || e.nextQueryAt == 0 {
+		e.nextQueryAt = now + e.randomDelay(maxFirstQueryDelay)
 	}
-	e.following = false
+	e.watchEstablished = false
 }
 
 // fresh tells whether discovery has confirmed the list lately enough to tell others.
-func (e *Exchange) fresh(now monotonic.Time) bool {
-	return e.following && now-e.confirmedAt <= freshFor
+func (e *Exchange) confirmedLately(now monotonic.Time) bool {
+	return e.watchEstablished && now-e.confirmedAt <= confirmationTTL
 }
 
 // Queried takes a peer's query in.
 func (e *Exchange) QueryReceived(from int, q Query, now monotonic.Time) {
-	e.queries = e.faded(now) + 1
-	e.heardAt = now
-	newer := e.held > q.Revision || e.held == q.Revision && now-e.confirmedAt+newerBy < q.Age
-	if !e.fresh(now) || !newer {
+	e.decayedQueries = e.queriesAt(now) + 1
+	e.queriesCountedAt = now
+	newer := e.heldRevision > q.Revision || e.heldRevision == q.Revision && now-e.confirmedAt+minAgeGain < q.Age
+	if !e.confirmedLately(now) || !newer {
 		return
 	}
-	whole := e.held > q.Revision
-	if e.manyAsk(from, now) {
-		e.replyToAll(whole, now)
-	} else if len(e.single) < askersMany {
-		e.single = append(e.single, request{to: from, whole: whole, askedAt: now, dueAt: now + e.jitter(replyWithin)})
+	whole := e.heldRevision > q.Revision
+	if e.severalQuery(from, now) {
+		e.scheduleBroadcast(whole, now)
+	} else if len(e.unicastReplies) < broadcastThreshold {
+		e.unicastReplies = append(e.unicastReplies, pendingReply{to: from, includeReady: whole, queriedAt: now, dueAt: now + e.randomDelay(maxReplyDelay)})
 	}
 }
 
 // manyAsk tells whether this query is one of several gateways' lately.
-func (e *Exchange) manyAsk(from int, now monotonic.Time) bool {
-	e.askers = slices.DeleteFunc(e.askers, func(one asker) bool { return one.rank == from || now-one.at >= askersSpan })
-	if len(e.askers) >= askersMany {
-		e.askers = e.askers[1:]
+func (e *Exchange) severalQuery(from int, now monotonic.Time) bool {
+	e.recentQueriers = slices.DeleteFunc(e.recentQueriers, func(one querier) bool { return one.rank == from || now-one.queriedAt >= broadcastWindow })
+	if len(e.recentQueriers) >= broadcastThreshold {
+		e.recentQueriers = e.recentQueriers[1:]
 	}
-	e.askers = append(e.askers, asker{from, now})
-	return len(e.askers) >= askersMany
+	e.recentQueriers = append(e.recentQueriers, querier{from, now})
+	return len(e.recentQueriers) >= broadcastThreshold
 }
 
 // replyToAll has a reply go to all gateways, for this query as well.
-func (e *Exchange) replyToAll(whole bool, now monotonic.Time) {
-	if e.all == nil {
-		e.all = &request{to: AllGateways, dueAt: now + e.jitter(replyWithin)}
+func (e *Exchange) scheduleBroadcast(whole bool, now monotonic.Time) {
+	if e.broadcastReply == nil {
+		e.broadcastReply = &pendingReply{to: AllGateways, dueAt: now + e.randomDelay(maxReplyDelay)}
 	}
-	if whole || !e.all.whole {
-		e.all.whole, e.all.askedAt = whole, now
+	if whole || !e.broadcastReply.includeReady {
+		e.broadcastReply.includeReady, e.broadcastReply.queriedAt = whole, now
 	}
 }
 
 // Crowd estimates which share of the gateways goes without discovery at present, from 0 to 1: each of them queries a few
 // peers drawn at random, again and again, so that the queries heard tell how many there are.
 func (e *Exchange) UnansweredShare(now monotonic.Time) float64 {
-	if e.peers < 2 {
+	if e.gateways < 2 {
 		return 0
 	}
-	each := float64(min(queryPeers, e.peers-1)) / (float64(queryEvery) * 1.5)
-	return min(1, e.faded(now)/(each*float64(crowdOver)))
+	each := float64(min(peersPerQuery, e.gateways-1)) / (float64(queryInterval) * 1.5)
+	return min(1, e.queriesAt(now)/(each*float64(queryDecay)))
 }
 
-func (e *Exchange) faded(now monotonic.Time) float64 {
-	return e.queries * math.Exp(-float64(now-e.heardAt)/float64(crowdOver))
+func (e *Exchange) queriesAt(now monotonic.Time) float64 {
+	return e.decayedQueries * math.Exp(-float64(now-e.queriesCountedAt)/float64(queryDecay))
 }
 
 // Told takes a peer's view in. It gives what was learned, or nil.
 func (e *Exchange) ViewReceived(from int, v View, now monotonic.Time) *LearnedView {
 	at := now - max(v.Age, 0)
-	if v.Revision >= e.held {
-		e.heard = confirmation{v.Revision, now, v.Parts > 0}
+	if v.Revision >= e.heldRevision {
+		e.latestReply = heardReply{v.Revision, now, v.Parts > 0}
 	}
-	if v.Revision < e.known || v.Revision == e.known && at <= e.currentAt {
+	if v.Revision < e.knownRevision || v.Revision == e.knownRevision && at <= e.knownCurrentAt {
 		return nil
 	}
-	if v.Revision == e.known {
-		e.currentAt = at
+	if v.Revision == e.knownRevision {
+		e.knownCurrentAt = at
 		return &LearnedView{Revision: v.Revision, ConfirmedAt: at}
 	}
-	ready := e.parts.add(from, v)
+	ready := e.assembly.add(from, v)
 	if ready == nil { // parts are missing, or it was meant for others: its sender is asked
-		if e.source == none {
-			e.queryAt = min(e.queryAt, now+replyWithin+e.jitter(queryFirst))
+		if e.newerSource == noGateway {
+			e.nextQueryAt = min(e.nextQueryAt, now+maxReplyDelay+e.randomDelay(maxFirstQueryDelay))
 		}
-		e.source = from
+		e.newerSource = from
 		return nil
 	}
-	e.known, e.currentAt, e.source = v.Revision, at, none
+	e.knownRevision, e.knownCurrentAt, e.newerSource = v.Revision, at, noGateway
 	return &LearnedView{Revision: v.Revision, ConfirmedAt: at, Ready: ready}
 }
 
 // Next gives what is to be sent now, and how long it may take until it is asked again.
 func (e *Exchange) Tick(now monotonic.Time) (Due, time.Duration) {
-	due, wait := Due{}, 10*s
-	if !e.fresh(now) {
-		if now >= e.queryAt {
-			due.QueryRecipients = e.drawPeers()
-			due.Query = Query{Revision: e.known, Age: now - e.currentAt}
-			e.queryAt = now + queryEvery + e.jitter(queryEvery)
+	due, wait := Due{}, 10*time.Second
+	if !e.confirmedLately(now) {
+		if now >= e.nextQueryAt {
+			due.QueryRecipients = e.drawRecipients()
+			due.Query = Query{Revision: e.knownRevision, Age: now - e.knownCurrentAt}
+			e.nextQueryAt = now + queryInterval + e.randomDelay(queryInterval)
 		}
-		wait = e.queryAt - now
+		wait = e.nextQueryAt - now
 	} else {
-		wait = e.confirmedAt + freshFor + ms - now
+		wait = e.confirmedAt + confirmationTTL + time.Millisecond - now
 	}
-	due.Replies = e.replies(now)
-	for i := range e.single {
-		wait = min(wait, e.single[i].dueAt-now)
+	due.Replies = e.dueReplies(now)
+	for i := range e.unicastReplies {
+		wait = min(wait, e.unicastReplies[i].dueAt-now)
 	}
-	if e.all != nil {
-		wait = min(wait, e.all.dueAt-now)
+	if e.broadcastReply != nil {
+		wait = min(wait, e.broadcastReply.dueAt-now)
 	}
-	return due, max(wait, ms)
+	return due, max(wait, time.Millisecond)
 }
 
 // replies gives the replies whose time has come.
-func (e *Exchange) replies(now monotonic.Time) []Reply {
+func (e *Exchange) dueReplies(now monotonic.Time) []Reply {
 	var due []Reply
-	if e.all != nil && now >= e.all.dueAt {
-		if reply, ok := e.reply(e.all, now); ok {
+	if e.broadcastReply != nil && now >= e.broadcastReply.dueAt {
+		if reply, ok := e.composeReply(e.broadcastReply, now); ok {
 			due = append(due, reply)
-			e.heard = confirmation{e.held, now, reply.IncludeReady}
+			e.latestReply = heardReply{e.heldRevision, now, reply.IncludeReady}
 		}
-		e.all = nil
+		e.broadcastReply = nil
 	}
-	e.single = slices.DeleteFunc(e.single, func(one request) bool {
+	e.unicastReplies = slices.DeleteFunc(e.unicastReplies, func(one pendingReply) bool {
 		if now < one.dueAt {
 			return false
 		}
-		if reply, ok := e.reply(&one, now); ok {
+		if reply, ok := e.composeReply(&one, now); ok {
 			due = append(due, reply)
 		}
 		return true
@@ -318,22 +315,22 @@
 }
 
 // reply answers a request, unless a reply as good was heard or there is nothing fresh to tell any more.
-func (e *Exchange) reply(one *request, now monotonic.Time) (Reply, bool) {
-	if !e.fresh(now) || e.heard.serves(one, e.held) {
+func (e *Exchange) composeReply(one *pendingReply, now monotonic.Time) (Reply, bool) {
+	if !e.confirmedLately(now) || e.latestReply.supersedes(one, e.heldRevision) {
 		return Reply{}, false
 	}
-	return Reply{To: one.to, Revision: e.held, Age: now - e.confirmedAt, IncludeReady: one.whole}, true
+	return Reply{To: one.to, Revision: e.heldRevision, Age: now - e.confirmedAt, IncludeReady: one.includeReady}, true
 }
 
 // drawPeers draws a few other gateways, beside the one that is known to hold a newer revision.
-func (e *Exchange) drawPeers() []int {
+func (e *Exchange) drawRecipients() []int {
 	var drawn []int
-	if e.source != none {
-		drawn = append(drawn, e.source)
-		e.source = none
+	if e.newerSource != noGateway {
+		drawn = append(drawn, e.newerSource)
+		e.newerSource = noGateway
 	}
-	for range min(queryPeers, e.peers-1) - len(drawn) {
-		one := int(e.draw(int64(e.peers - 1)))
+	for range min(peersPerQuery, e.gateways-1) - len(drawn) {
+		one := int(e.random(int64(e.gateways - 1)))
 		if one >= e.rank {
 			one++
 		}
@@ -342,6 +339,6 @@
 	return drawn
 }
 
-func (e *Exchange) jitter(below time.Duration) time.Duration {
-	return time.Duration(e.draw(int64(below/ms))) * ms
+func (e *Exchange) randomDelay(below time.Duration) time.Duration {
+	return time.Duration(e.random(int64(below/time.Millisecond))) * time.Millisecond
 }
