--- /dev/null
+++ b/internal/routing/gossip.go
@@ -0,0 +1,139 @@
+package routing
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"laurelring/decision/gossip"
+	"laurelring/decision/monotonic"
+	"laurelring/internal/protocol"
+)
+
+// peerView is a peer's view of a revision that discovery has not given this gateway yet.
+type peerView struct {
+	revision int64
+	ready    map[uint32]bool // by incarnation
+}
+
+// DatagramReceived posts a datagram of the gateway of a rank.
+func (r *Router) DatagramReceived(sender int, datagram []byte) {
+	r.events <- func(now monotonic.Time) {
+		if r.list.exchange != nil && r.gossipReceived(sender, datagram, now) {
+			return
+		}
+		r.evidenceReceived(sender, datagram, now)
+	}
+}
+
+// gossipReceived takes in a peer's query or view of the endpoint list, and reports whether the datagram was one.
+func (r *Router) gossipReceived(sender int, datagram []byte, now monotonic.Time) bool {
+	if query, ok := protocol.UnpackQuery(datagram); ok {
+		r.list.exchange.QueryReceived(sender, query, now)
+		return true
+	}
+	view, ok := protocol.UnpackView(datagram)
+	if !ok {
+		return false
+	}
+	learned := r.list.exchange.ViewReceived(sender, view, now)
+	if learned == nil {
+		return true
+	}
+	if learned.Ready != nil {
+		r.applyPeerView(&peerView{revision: learned.Revision, ready: learned.Ready}, now)
+	}
+	r.balancer.EndpointListConfirmed(learned.ConfirmedAt)
+	return true
+}
+
+// applyPeerView goes by a newer view of a peer: the endpoints that it lacks have begun to drain or were removed since the
+// revision held.
+func (r *Router) applyPeerView(view *peerView, now monotonic.Time) {
+	r.list.newerView = view
+	departed := 0
+	for _, record := range r.endpoints.byID {
+		lacking := !view.ready[record.incarnation]
+		if record.removedAt > 0 || record.departed == lacking {
+			continue
+		}
+		record.departed = lacking
+		if lacking {
+			departed++
+			r.drivers.CloseIdleConnections(record.listed.Address)
+		}
+		r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
+	}
+	slog.Info("newer endpoint list learned from peer", "revision", view.revision,
+		"held_revision", r.list.revision, "departed", departed)
+	r.withholdDisallowed(now)
+}
+
+// discardPeerView forgets a peer's view, as the list held is current, and reports whether there was one. Where discovery
+// counts from an older revision again, what the view lacked stays unready.
+func (r *Router) discardPeerView(full bool) bool {
+	view := r.list.newerView
+	if view == nil {
+		return false
+	}
+	if full && r.list.revision < view.revision {
+		for _, record := range r.endpoints.byID {
+			if record.departed {
+				record.downRevision = max(record.downRevision, view.revision)
+			}
+		}
+	}
+	r.list.newerView = nil
+	return true
+}
+
+// restoreDeparted has the endpoints that a discarded view lacked go by discovery again.
+func (r *Router) restoreDeparted(now monotonic.Time) {
+	for _, record := range r.endpoints.byID {
+		if !record.departed {
+			continue
+		}
+		record.departed = false
+		if record.downRevision > r.list.revision {
+			record.listed.Ready = false
+		}
+		if record.removedAt == 0 {
+			r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
+		}
+	}
+}
+
+// sendGossip sends the queries and replies that are due, and returns how long to wait for the next.
+func (r *Router) sendGossip(now monotonic.Time) time.Duration {
+	due, wait := r.list.exchange.Tick(now)
+	for _, recipient := range due.QueryRecipients {
+		r.drivers.SendDatagram(recipient, protocol.PackQuery(due.Query))
+	}
+	var ready []uint32
+	for _, reply := range due.Replies {
+		if !reply.IncludeReady {
+			view := gossip.View{Revision: reply.Revision, Age: reply.Age}
+			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
+			continue
+		}
+		if ready == nil {
+			ready = r.endpoints.readyIncarnations()
+		}
+		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.ViewEach) {
+			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
+		}
+	}
+	return wait
+}
+
+// readyIncarnations returns what discovery lists as ready, in ascending order.
+func (t *endpointTable) readyIncarnations() []uint32 {
+	var ready []uint32
+	for _, record := range t.byID {
+		if record.listed.Ready && record.removedAt == 0 {
+			ready = append(ready, record.incarnation)
+		}
+	}
+	slices.Sort(ready)
+	return ready
+}
--- /dev/null
+++ b/internal/routing/requestlog.go
@@ -0,0 +1,61 @@
+package routing
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"laurelring/decision"
+)
+
+// requestLog logs the course of each request at level debug: its arrival, each attempt with the revision of the endpoint
+// list that it went by, each outcome, and the final answer with its reason. At other levels it costs nothing.
+type requestLog struct{ enabled bool }
+
+// The final answers, as they are logged.
+const (
+	answerServed   = "served"
+	answerRejected = "rejected"
+	answerFailed   = "failed"
+)
+
+func newRequestLog() requestLog {
+	return requestLog{enabled: slog.Default().Enabled(context.Background(), slog.LevelDebug)}
+}
+
+func (l requestLog) accepted(id string, remaining time.Duration) {
+	if l.enabled {
+		slog.Debug("request accepted", "request_id", id, "remaining", remaining)
+	}
+}
+
+func (l requestLog) attemptStarted(id string, endpoint *endpointRecord, revision int64, number int) {
+	if l.enabled {
+		slog.Debug("attempt started", "request_id", id, "endpoint", endpoint.listed.ID, "attempt", number,
+			"revision", revision)
+	}
+}
+
+// attemptFinished is given no endpoint where it has been forgotten meanwhile.
+func (l requestLog) attemptFinished(id string, endpoint *endpointRecord, outcome decision.Outcome, duration time.Duration) {
+	if !l.enabled {
+		return
+	}
+	name := ""
+	if endpoint != nil {
+		name = endpoint.listed.ID
+	}
+	slog.Debug("attempt finished", "request_id", id, "endpoint", name, "outcome", outcome, "duration", duration)
+}
+
+func (l requestLog) answered(id, answer string, reason decision.RejectReason) {
+	if l.enabled {
+		slog.Debug("request answered", "request_id", id, "answer", answer, "reason", reason)
+	}
+}
+
+func (l requestLog) clientDisconnected(id string) {
+	if l.enabled {
+		slog.Debug("client disconnected", "request_id", id)
+	}
+}
