--- a/internal/transport/descriptor_budget.go
+++ b/internal/transport/descriptor_budget.go
@@ -1,94 +1,97 @@
-// Package transport holds the drivers that read and write sockets. They carry bytes between the sockets and
-// the state machines of package protocol, and decide nothing.
 package transport
 
 import (
 	"sync"
 )
 
-// DescriptorBudget owns the gateway's descriptors. What discovery, the platform, peers and the runtime need is kept
-// back from the start; clients and instances share the rest, each up to its part, and at the limit idle
-// connections go first: those of the side that asks, then the other's, so that neither side starves the other.
+const (
+	// reservedDescriptors are for the standard streams (3), the poller (2), the listener, clients in overflow and the
+	// next of them, peers, discovery (2) and the rollout controller (2), each of the last two while one connection
+	// replaces another, and a few for the runtime.
+	reservedDescriptors = 16 + maxOverflowClients
+	// clientShare is the part of the budget that clients may use: those that send requests need no more than a third,
+	// and a crowd of others must not take what attempts need.
+	clientShare   = 0.5
+	endpointShare = 1.0
+)
+
+// DescriptorBudget owns the gateway's file descriptors. Those for discovery, the rollout controller, peers and the
+// runtime are reserved from the start; clients and endpoints share the rest, each up to its quota. At the limit idle
+// connections are closed: first those of the owner that asks, then those of the other, so that neither starves the
+// other.
 type DescriptorBudget struct {
+	limit int
+
 	mu        sync.Mutex
-	limit     int
 	available int
 	quotas    []*descriptorQuota
 }
 
 // idleCloser holds connections of one kind.
 type idleCloser interface {
-	closeIdle() bool // closes the connection that has been idle for longest, if there is one
+	// closeIdle closes the connection that has been idle longest and reports whether there was one.
+	closeIdle() bool
 }
 
-// descriptorQuota is what one side may hold of a budget.
+// descriptorQuota is what one owner may use of a budget.
 type descriptorQuota struct {
 	budget *DescriptorBudget
 	owner  idleCloser
 	limit  int
-	inUse  int
+	inUse  int // guarded by the lock of the budget
 }
 
-const (
-	// reserve is for the standard streams (3), the poller (2), the listener, clients beyond the limit and the next
-	// of them, peers, discovery (2) and the platform (2), each of the last two while one replaces another, and a
-	// few for the runtime.
-	reservedDescriptors = 16 + maxOverflowClients
-	// Clients that mean it hold no more than a third; a crowd of others may not take what deliveries need.
-	clientShare   = 0.5
-	endpointShare = 1.0
-)
-
-// NewDescriptorBudget takes the number of descriptors that the gateway may hold.
-func NewDescriptorBudget(most int) *DescriptorBudget {
-	most = max(most-reservedDescriptors, 2)
-	return &DescriptorBudget{limit: most, available: most}
+// NewDescriptorBudget returns a budget of as many descriptors as the gateway may open in all.
+func NewDescriptorBudget(limit int) *DescriptorBudget {
+	limit = max(limit-reservedDescriptors, 2)
+	return &DescriptorBudget{limit: limit, available: limit}
 }
 
-// join adds a side, before any descriptor is taken.
-func (b *DescriptorBudget) addQuota(side idleCloser, part float64) *descriptorQuota {
-	s := &descriptorQuota{budget: b, owner: side, limit: max(1, int(part*float64(b.limit)))}
-	b.quotas = append(b.quotas, s)
-	return s
+// addQuota adds an owner that may use a part of the budget, from 0 to 1. It is called before any descriptor is
+// acquired.
+func (b *DescriptorBudget) addQuota(owner idleCloser, part float64) *descriptorQuota {
+	q := &descriptorQuota{budget: b, owner: owner, limit: max(1, int(part*float64(b.limit)))}
+	b.quotas = append(b.quotas, q)
+	return q
 }
 
-// take takes a descriptor, closing an idle connection if it must.
-func (s *descriptorQuota) acquire() bool {
-	if s.tryAcquire() || s.owner.closeIdle() && s.tryAcquire() {
+// acquire takes a descriptor, and closes an idle connection for it if it must.
+func (q *descriptorQuota) acquire() bool {
+	if q.tryAcquire() || q.owner.closeIdle() && q.tryAcquire() {
 		return true
 	}
-	for _, o := range s.budget.quotas {
-		if o != s && s.belowLimit() && o.owner.closeIdle() && s.tryAcquire() {
+	for _, other := range q.budget.quotas {
+		if other != q && q.belowLimit() && other.owner.closeIdle() && q.tryAcquire() {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *descriptorQuota) belowLimit() bool {
-	s.budget.mu.Lock()
-	defer s.budget.mu.Unlock()
-	return s.inUse < s.limit
+func (q *descriptorQuota) belowLimit() bool {
+	q.budget.mu.Lock()
+	defer q.budget.mu.Unlock()
+	return q.inUse < q.limit
 }
 
-// free takes a descriptor if one is left.
-func (s *descriptorQuota) tryAcquire() bool {
-	b := s.budget
+// tryAcquire takes a descriptor if one is available.
+func (q *descriptorQuota) tryAcquire() bool {
+	b := q.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.available == 0 || s.inUse >= s.limit {
+	if b.available == 0 || q.inUse >= q.limit {
 		return false
 	}
 	b.available--
-	s.inUse++
+	q.inUse++
 	return true
 }
 
-// give gives a descriptor back.
-func (s *descriptorQuota) release() {
-	b := s.budget
+// release gives a descriptor back.
+func (q *descriptorQuota) release() {
+	b := q.budget
 	b.mu.Lock()
+	defer b.mu.Unlock()
 	b.available++
-	s.inUse--
-	b.mu.Unlock()
+	q.inUse--
 }
--- a/internal/transport/peer_socket.go
+++ b/internal/transport/peer_socket.go
@@ -9,11 +9,14 @@
 	"laurelring/internal/protocol"
 )
 
+// maxOutgoingDatagrams wait to be sent; a further one is dropped, as any datagram may be lost.
+const maxOutgoingDatagrams = 1024
+
 // PeerSocket carries datagrams between gateways.
 type PeerSocket struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort
-	broadcast netip.AddrPort
+	peers     []netip.AddrPort // by the gateways' numbers
+	broadcast netip.AddrPort   // reaches all of them; not valid if there is none
 	outgoing  chan datagram
 }
 
@@ -22,88 +25,91 @@
 	payload []byte
 }
 
-const maxOutgoingDatagrams = 1024 // datagrams that wait to be sent; a further one is lost, as any may be
-
-// NewPeerSocket listens for datagrams at an address. The gateways' addresses stand in the order of their numbers;
-// the one of all of them may be empty.
-func NewPeerSocket(listen string, each []string, all string) (*PeerSocket, error) {
+// NewPeerSocket opens a socket at an address. The peers' addresses stand in the order of the gateways' numbers;
+// broadcast is an address that reaches all of them, or empty. All are an IP address and a port.
+func NewPeerSocket(listen string, peers []string, broadcast string) (*PeerSocket, error) {
 	p := &PeerSocket{outgoing: make(chan datagram, maxOutgoingDatagrams)}
-	for _, one := range each {
-		at, err := netip.ParseAddrPort(one)
+	for _, text := range peers {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
-		p.peers = append(p.peers, at)
+		p.peers = append(p.peers, address)
 	}
-	if all != "" {
+	if broadcast != "" {
 		var err error
-		if p.broadcast, err = netip.ParseAddrPort(all); err != nil {
+		if p.broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
 			return nil, err
 		}
 	}
-	at, err := netip.ParseAddrPort(listen)
+	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, err
 	}
-	p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	return p, err
 }
 
-// Send sends a datagram to one gateway, or to all where its number is below 0. It does not wait.
-func (p *PeerSocket) Send(to int, text []byte) {
-	if len(text) > protocol.DatagramMost || to >= len(p.peers) {
+// Send sends a datagram to the gateway of a number, or to all where the number is below 0. It does not
+// wait. A datagram that is too long, or for a number of no gateway, is dropped.
+func (p *PeerSocket) Send(number int, payload []byte) {
+	if len(payload) > protocol.DatagramMost || number >= len(p.peers) {
 		return
 	}
-	some := p.peers
-	if to >= 0 {
-		some = p.peers[to : to+1]
+	receivers := p.peers
+	if number >= 0 {
+		receivers = p.peers[number : number+1]
 	} else if p.broadcast.IsValid() {
-		some = []netip.AddrPort{p.broadcast}
+		receivers = []netip.AddrPort{p.broadcast}
 	}
-	for _, at := range some {
+	for _, address := range receivers {
 		select {
-		case p.outgoing <- datagram{at, text}:
+		case p.outgoing <- datagram{address, payload}:
 		default:
 		}
 	}
 }
 
-// Run sends what is posted and tells heard of every datagram of a known sender, until Close.
-func (p *PeerSocket) Run(heard func(from int, text []byte), complaints *RateLimitedLog) {
+// Run sends the datagrams and calls onDatagram, on its own goroutine, for each that arrives from a gateway, until
+// Close.
+func (p *PeerSocket) Run(onDatagram func(from int, payload []byte), log *RateLimitedLog) {
 	done := make(chan struct{})
 	defer close(done)
-	go func() {
-		for {
-			select {
-			case one := <-p.outgoing:
-				p.conn.WriteToUDPAddrPort(one.payload, one.to) // what is lost is lost
-			case <-done:
-				return
-			}
-		}
-	}()
+	go p.sendUntil(done)
 	numbers := map[netip.AddrPort]int{}
-	for i, at := range p.peers {
-		numbers[at] = i
+	for i, address := range p.peers {
+		numbers[address] = i
 	}
-	b := make([]byte, protocol.DatagramMost+1)
+	buffer := make([]byte, protocol.DatagramMost+1) // one byte more, to see that a datagram is too long
 	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(b)
+		n, sender, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil {
-			complaints.Warn("a datagram could not be read", "cause", err)
-			time.Sleep(shortageRetryDelay) // the machine may be short of something for a while
+		}
+		if err != nil {
+			log.Warn("peer datagram read failed", "error", err)
+			time.Sleep(shortageRetryDelay) // the machine may be short of some resource for a while
 			continue
 		}
-		number, ok := numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > protocol.DatagramMost {
-			complaints.Warn("a datagram of a stranger, or too long", "from", from)
+		number, known := numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		if !known || n > protocol.DatagramMost {
+			log.Warn("peer datagram rejected", "peer", sender)
 			continue
 		}
-		heard(number, append([]byte(nil), b[:n]...))
+		onDatagram(number, append([]byte(nil), buffer[:n]...))
+	}
+}
+
+func (p *PeerSocket) sendUntil(done <-chan struct{}) {
+	for {
+		select {
+		case one := <-p.outgoing:
+			p.conn.WriteToUDPAddrPort(one.payload, one.to) // a failed write is a lost datagram
+		case <-done:
+			return
+		}
 	}
 }
 
-// Close ends Run.
+// Close closes the socket and ends Run.
 func (p *PeerSocket) Close() { p.conn.Close() }
--- a/internal/transport/rate_limited_log.go
+++ b/internal/transport/rate_limited_log.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// RateLimitedLog logs bad input, each kind of it once in a while at most.
+// repeatInterval is the shortest time between two lines of one message.
+const repeatInterval = 5 * time.Second
+
+// RateLimitedLog logs malformed input of others, each message once in a while at most: the peer decides how often it
+// occurs. The zero value is ready for use.
 type RateLimitedLog struct {
 	mu         sync.Mutex
 	loggedAt   map[string]time.Time
-	suppressed map[string]int // not logged since
+	suppressed map[string]int // calls by message since the last line
 }
 
-const repeatInterval = 5 * time.Second
-
-// Warn logs what was wrong with what a party sent.
-func (c *RateLimitedLog) Warn(kind string, about ...any) {
+// Warn logs a message with its attributes, and how many like it were suppressed since the last.
+func (l *RateLimitedLog) Warn(message string, attributes ...any) {
 	now := time.Now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.loggedAt == nil {
-		c.loggedAt, c.suppressed = map[string]time.Time{}, map[string]int{}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.loggedAt == nil {
+		l.loggedAt, l.suppressed = map[string]time.Time{}, map[string]int{}
 	}
-	if now.Sub(c.loggedAt[kind]) < repeatInterval {
-		c.suppressed[kind]++
+	if now.Sub(l.loggedAt[message]) < repeatInterval {
+		l.suppressed[message]++
 		return
 	}
-	slog.Warn(kind, append(about, "like it since the last", c.suppressed[kind])...)
-	c.loggedAt[kind], c.suppressed[kind] = now, 0
+	slog.Warn(message, append(attributes, "suppressed", l.suppressed[message])...)
+	l.loggedAt[message], l.suppressed[message] = now, 0
 }
