--- a/decision/config.go
+++ b/decision/config.go
@@ -6,12 +6,13 @@
 	"math"
 	"time"
 
+	"laurelring/decision/admission"
 	"laurelring/decision/discovery"
 	"laurelring/decision/seeded"
 )
 
-// Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. Nothing of
-// it changes later.
+// Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. None of it
+// changes later.
 type Config struct {
 	Seed     uint64        // of all random draws
 	Rank     int           // this gateway's number, from 0 on
@@ -65,8 +66,8 @@
 type SlowStartConfig struct {
 	InitialCapacity  float64       // share of its capacity that an endpoint has at its start
 	WarmUp           time.Duration // until it has all of it
-	OverloadMultiple float64       // of its present capacity: it falls over once it gets more
-	OverloadSpan     time.Duration // for so long
+	OverloadMultiple float64       // of its present capacity: it is overloaded once it gets more
+	OverloadSpan     time.Duration // within this span
 }
 
 // ExposureConfig bounds the attempts at a canary build.
@@ -90,10 +91,10 @@
 	PeerMessages  bool          // gateways may send one another messages
 }
 
-// ErrConfig is wrapped by each error that New gives.
+// ErrConfig is wrapped by each error that New returns.
 var ErrConfig = errors.New("invalid balancer configuration")
 
-// validate refuses figures that no deployment can mean. It is no check of plausibility.
+// validate refuses figures that no deployment can mean. It does not check whether they are plausible.
 func (c *Config) validate() error {
 	switch {
 	case c.Rank < 0:
@@ -109,20 +110,20 @@
 	return nil
 }
 
-// New makes the balancer of one gateway. An error wraps ErrConfig.
+// New returns the balancer of one gateway. An error wraps ErrConfig.
 func New(config Config) (*Balancer, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	gateways := max(config.Gateways, 1)
 	lb := &Balancer{
-		random:              seeded.New(config.Seed),
-		rank:                config.Rank,
-		gateways:            gateways,
-		zone:                config.Zone,
-		tick:                max(config.Tick, time.Millisecond),
-		meanRelativeLatency: 1,
-		concurrencyWindow:   math.Inf(1),
+		random:    seeded.New(config.Seed),
+		rank:      config.Rank,
+		gateways:  gateways,
+		zone:      config.Zone,
+		tick:      max(config.Tick, time.Millisecond),
+		machines:  machineTypes{meanRelativeLatency: 1},
+		admission: admissionState{window: admission.NewConcurrencyWindow()},
 		attemptLimits: attemptLimits{
 			maxAttempts:   config.Attempts.Max,
 			mayCancel:     config.Attempts.MayCancel,
@@ -140,16 +141,16 @@
 		lb.opTypes = append(lb.opTypes, newOpType(len(lb.opTypes), opType))
 	}
 	for _, tenant := range config.Tenants {
-		lb.tenants = append(lb.tenants, &Tenant{quotaRate: tenant.QuotaRate})
+		lb.admission.quotas.Add(tenant.QuotaRate)
 	}
 	return lb, nil
 }
 
-// OpTypes gives the op types in the order of the configuration.
+// OpTypes returns the op types in the order of the configuration.
 func (lb *Balancer) OpTypes() []*OpType { return lb.opTypes }
 
-// Tenants gives the tenants in the order of the configuration.
-func (lb *Balancer) Tenants() []*Tenant { return lb.tenants }
+// Tenants returns the tenants in the order of the configuration.
+func (lb *Balancer) Tenants() []*Tenant { return lb.admission.quotas.Tenants() }
 
 // attemptLimits is what this deployment permits of attempts.
 type attemptLimits struct {
@@ -173,29 +174,3 @@
 		meanLatency:      initialMeanLatencyShare * float64(config.LatencyObjective),
 	}
 }
-
-func newSlowStartState(config SlowStartConfig) slowStartState {
-	return slowStartState{
-		initialCapacity:  config.InitialCapacity,
-		warmUp:           config.WarmUp,
-		overloadMultiple: config.OverloadMultiple,
-		overloadSpan:     config.OverloadSpan,
-		shortage:         1,
-	}
-}
-
-func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
-	return rolloutState{
-		mode:           config.Mode,
-		promoteVotes:   config.PromoteVotes,
-		rollbackVotes:  config.RollbackVotes,
-		stageShares:    config.StageShares,
-		voteTTL:        config.VoteTTL,
-		answerTimeout:  config.AnswerTimeout,
-		peerMessages:   config.PeerMessages && gateways > 1,
-		lagCost:        costs.Lag,
-		harmCost:       costs.Harm,
-		promoteCheckAt: math.MaxInt64,
-		reports:        make([]*EvidenceReport, gateways),
-	}
-}
