--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -138,7 +138,7 @@
 		}
 		defer kept.Close()
 		defer client.Close()
-		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.Busy() }, func(build int, so bool) { r.Vouched(build, so) })
+		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.HasQueuedRequests() }, func(build int, so bool) { r.BuildVerified(build, so) })
 		if operator.Builds != "" {
 			gateway.RequireVerifiedBuilds()
 			build = agent.Build
@@ -146,19 +146,28 @@
 	}
 	var discovery *transport.DiscoveryClient
 	var rolloutClient *transport.RolloutClient
-	r = routing.New(gateway, busy, clock, routing.Outside{
-		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
-			ended func(protocol.Response)) routing.Delivery {
-			return endpoints.Send(address, until, encode, ended)
+	var exchange *gossip.Exchange
+	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
+		exchange = gossip.NewExchange(gossip.Config{Rank: rank, Gateways: many, Revision: startList.Revision,
+			Random: seededrand.New(seed).Below}, clock())
+	}
+	drivers := routing.Drivers{
+		StartAttempt: func(attempt routing.AttemptRequest) routing.AttemptHandle {
+			return endpoints.Send(attempt.Address, attempt.Deadline, attempt.Encode, attempt.Finished)
 		},
-		Drop:  endpoints.CloseIdleTo,
-		Post:  post,
-		Vote:  func(v decision.Vote) { rolloutClient.Vote(v) },
-		Watch: func() { discovery.StartWatch(ctx) },
-		Build: build,
-	})
+		CloseIdleConnections: endpoints.CloseIdleTo,
+		SendDatagram:         post,
+		CastVote:             func(v decision.Vote) { rolloutClient.Vote(v) },
+		PollDiscovery:        func() { discovery.StartWatch(ctx) },
+		VerifyBuild:          build,
+	}
+	r, err = routing.New(routing.Config{Balancer: gateway, UtilizationField: busy, Clock: clock, Drivers: drivers,
+		Gossip: exchange})
+	if err != nil {
+		return err
+	}
 	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
-		Address: deskAt, VoteTimeout: voteWithin, Random: lots, OnStatus: r.News, OnVoteResult: r.Voted,
+		Address: deskAt, VoteTimeout: voteWithin, Random: lots, OnStatus: r.RolloutStatusReceived, OnVoteResult: r.VoteAnswered,
 		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
 		OnDisconnected: func(address string, err error) {
 			log.Warn("rollout controller disconnected", "address", address, "error", err)
@@ -168,25 +177,22 @@
 		return err
 	}
 	gateway.StartLease(clock())
-	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
-	}
 	status, err := protocol.ParseRolloutStatus(news)
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
-	r.News(status)
+	r.RolloutStatusReceived(status)
 	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
 		Address: discoveryAt, MaxWait: askWithin, Revision: startList.Revision, Random: lots,
-		OnListStart: r.ListBegun,
+		OnListStart: r.DiscoveryResponseStarted,
 		OnList: func(text []byte, full bool) (int64, error) {
 			list, err := protocol.ReadList(text, zones, models)
 			if err != nil {
 				return 0, err
 			}
-			return r.Listed(list, false, full)
+			return list.Revision, r.EndpointListReceived(routing.EndpointListUpdate{List: list, Full: full})
 		},
-		OnFailure: r.ListFailed,
+		OnFailure: r.DiscoveryFailed,
 	})
 	if err != nil {
 		return err
@@ -198,15 +204,17 @@
 	defer ln.Close()
 	clients, err := transport.NewClientServer(transport.ClientServerConfig{
 		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(memory)), MaxRemaining: longest,
-		OpTypes:      named,
-		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.Command(request, response) },
-		OnDisconnect: func(response *transport.PendingResponse) { r.Gone(response) },
+		OpTypes: named,
+		OnRequest: func(request protocol.Request, response *transport.PendingResponse) {
+			r.RequestArrived(request, response)
+		},
+		OnDisconnect: func(response *transport.PendingResponse) { r.ClientDisconnected(response) },
 	})
 	if err != nil {
 		return err
 	}
 	go r.Run(ctx)
-	if _, err := r.Listed(startList, true, false); err != nil {
+	if err := r.EndpointListReceived(routing.EndpointListUpdate{List: startList, Cached: true}); err != nil {
 		return err
 	}
 	go rolloutClient.Run(ctx)
@@ -219,7 +227,7 @@
 		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
-		go peers.Run(r.Heard, complaints)
+		go peers.Run(r.DatagramReceived, complaints)
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- clients.Serve(ln) }()
@@ -235,7 +243,7 @@
 			} else {
 				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
 				if discovery.SetAddress(listAt) {
-					r.ListMoved()
+					r.DiscoveryMoved()
 				}
 				rolloutClient.SetAddress(votesAt)
 			}
@@ -251,7 +259,7 @@
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
 			answered := min(longest, killedAfter) - killMargin
-			r.Ending(servesOn + answered)
+			r.ShutdownWithin(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
 				clients.Drain()
