--- a/internal/transport/client_reader.go
+++ b/internal/transport/client_reader.go
@@ -50,7 +50,7 @@
 	return copy(p, handoverCommand), nil
 }
 
-// readRequest waits for the next request. A malformedRequestError tells what is wrong with what came in its place;
+// readRequest waits for the next request. A malformedRequestError says what is wrong with what came in its place;
 // any other error, that the connection was closed by the client or by the gateway.
 func (c *clientConnection) readRequest() (redcon.Command, error) {
 	for {
--- a/internal/transport/controller_connection.go
+++ b/internal/transport/controller_connection.go
@@ -31,7 +31,7 @@
 	conn     net.Conn
 	listenID int                  // of the call to listen
 	lastLine time.Time            // when a line arrived last
-	pending  []pendingVote        // the one cast first in front
+	pending  []pendingVote        // in the order in which they were cast
 	votes    <-chan decision.Vote // nil once the address has changed
 	closeAt  time.Time            // set once the address has changed
 }
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -215,7 +215,7 @@
 	return url + fmt.Sprintf("?after=%d&wait_ms=%d", c.revision, wait.Milliseconds())
 }
 
-// readList reads a list and has it handled. notTaken is true where it did not arrive whole, or was refused for
+// readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
 // another reason than its revision.
 func (c *DiscoveryClient) readList(body io.Reader, full bool) (notTaken bool, err error) {
 	text, err := io.ReadAll(io.LimitReader(body, protocol.ListMost))
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -146,7 +146,7 @@
 	cancel()
 }
 
-// A response that arrives in pieces, each soon after the last, is read whole, though it takes longer than one stall
+// A response that arrives in pieces, each soon after the last, is read to its end, though it takes longer than one stall
 // timeout: a gateway short of processor time was cut off from its list by the bytes that it had not read yet.
 func TestReadsListThatArrivesSlowly(t *testing.T) {
 	const list = `{"revision":7,"complete":true,"members":[]}`
