--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -124,20 +124,20 @@
 	var agent *tuf.Agent
 	trustFile := os.Getenv("RELAY_TRUST") // an operator's own: not set in run
 	if trustFile != "" {
-		operator, err := tuf.Load(trustFile)
+		operator, err := tuf.LoadOperatorConfig(trustFile)
 		if err != nil {
 			return err
 		}
-		client, kept, err := operator.Client(seed, func() int64 { return time.Now().UnixNano() }, nil)
+		client, kept, err := operator.NewClient(seed, func() int64 { return time.Now().UnixNano() }, nil)
 		if err != nil {
 			return err
 		}
 		defer kept.Close()
 		defer client.Close()
 		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.Busy() }, func(build int, so bool) { r.Vouched(build, so) })
-		if operator.Builds != "" {
+		if operator.BuildTarget != "" {
 			gateway.RequireVerifiedBuilds()
-			build = agent.Build
+			build = agent.CheckBuild
 		}
 	}
 	var discovery *transport.Discovery
@@ -162,7 +162,7 @@
 	}, lots)
 	gateway.StartLease(clock())
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
+		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Int64N, clock()))
 	}
 	status, err := protocol.ParseRolloutStatus(news)
 	if err != nil {
--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -126,12 +126,12 @@
 }
 
 func (l *line) tuf(ctx context.Context, command string, out io.Writer, now func() int64) (err error) {
-	o, err := tuf.Load(l.Tuf.File)
+	o, err := tuf.LoadOperatorConfig(l.Tuf.File)
 	if err != nil {
 		return &failure{misused, err}
 	}
 	registry := prometheus.NewRegistry()
-	c, kept, err := o.Client(uint64(now()), now, tufmetrics.New(registry))
+	c, kept, err := o.NewClient(uint64(now()), now, tufmetrics.New(registry))
 	switch r := (*verifiedmetadata.Refusal)(nil); {
 	case errors.As(err, &r):
 		return fail(r)
@@ -180,7 +180,7 @@
 }
 
 // ready refreshes where nothing trusted stands: without a store each call begins anew.
-func ready(ctx context.Context, c *tuf.Client, o *tuf.Operator, kept *store.Store) error {
+func ready(ctx context.Context, c *tuf.Client, o *tuf.OperatorConfig, kept *store.Store) error {
 	if !kept.InMemory() && c.Status().Standing == "trusted" {
 		return nil
 	}
--- a/internal/mirrorpool/mirrorpool.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -71,7 +71,7 @@
 type Pool struct {
 	limits  Limits
 	mirrors []*Mirror
-	chance  *seededrand.Chance
+	chance  *seededrand.Source
 	spent   float64 // bytes of the budget, running off with time
 	spentAt int64
 }
@@ -204,7 +204,7 @@
 	if len(some) == 0 {
 		return nil, at
 	}
-	return some[p.chance.Below(int64(len(some)))], now
+	return some[p.chance.Int64N(int64(len(some)))], now
 }
 
 // affordable is the moment at which the budget of bytes allows so many more.
@@ -297,7 +297,7 @@
 		m.strikes++
 		m.failed++
 		pause := min(p.limits.AsideMost, p.limits.AsideFirst<<min(m.strikes-1, 16))
-		m.asideAt = now + int64(pause+p.chance.Time(pause))
+		m.asideAt = now + int64(pause+p.chance.Duration(pause))
 		f.how = how
 	}
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -44,7 +44,7 @@
 // Scheduler keeps the jobs. It is owned by one goroutine.
 type Scheduler struct {
 	limits  Limits
-	chance  *seededrand.Chance
+	chance  *seededrand.Source
 	jobs    []*Job
 	added   int
 	running int
@@ -68,7 +68,7 @@
 		return ErrFull
 	}
 	s.added++
-	j.dueAt, j.order, j.gone, j.running = now+s.chance.Below(int64(j.Every)), s.added, false, false
+	j.dueAt, j.order, j.gone, j.running = now+s.chance.Int64N(int64(j.Every)), s.added, false, false
 	s.jobs = append(s.jobs, j)
 	return nil
 }
@@ -184,5 +184,5 @@
 	if j.Every == 0 && !j.gone {
 		s.Cancel(j)
 	}
-	j.dueAt = now + int64(j.Every) + s.chance.Below(int64(j.Every/10))
+	j.dueAt = now + int64(j.Every) + s.chance.Int64N(int64(j.Every/10))
 }
--- a/internal/seededrand/seededrand.go
+++ b/internal/seededrand/seededrand.go
@@ -1,4 +1,5 @@
-// Package seededrand draws from a seed and a counter, so that gateways that start or lose a party together come apart.
+// Package seededrand draws random numbers from a seed and a counter, so that gateways that start or lose a connection
+// at the same moment do not retry in step, and a run with the same seed repeats its draws.
 package seededrand
 
 import (
@@ -8,24 +9,26 @@
 	"time"
 )
 
-// Chance is one source of draws. Anyone may draw.
-type Chance struct {
+// Source is a deterministic sequence of random numbers. It is safe for concurrent use.
+type Source struct {
 	seed  uint64
 	drawn atomic.Uint64
 }
 
-// New takes the gateway's seed.
-func New(seed uint64) *Chance { return &Chance{seed: seed} }
+// New returns a source for a seed. Equal seeds give equal sequences.
+func New(seed uint64) *Source { return &Source{seed: seed} }
 
-// Time gives a time below the most.
-func (c *Chance) Time(most time.Duration) time.Duration { return time.Duration(c.Below(int64(most))) }
+// Duration draws a duration in [0, limit), or 0 where limit is not positive.
+func (s *Source) Duration(limit time.Duration) time.Duration {
+	return time.Duration(s.Int64N(int64(limit)))
+}
 
-// Below gives a number below n, 0 where n is none.
-func (c *Chance) Below(n int64) int64 {
-	var text [16]byte
-	binary.LittleEndian.PutUint64(text[:8], c.drawn.Add(1))
-	binary.LittleEndian.PutUint64(text[8:], c.seed)
-	h := fnv.New64a()
-	h.Write(text[:])
-	return int64(h.Sum64() >> 20 % uint64(max(n, 1)))
+// Int64N draws a number in [0, n), or 0 where n is not positive. Each call advances the sequence by one draw.
+func (s *Source) Int64N(n int64) int64 {
+	var input [16]byte
+	binary.LittleEndian.PutUint64(input[:8], s.drawn.Add(1))
+	binary.LittleEndian.PutUint64(input[8:], s.seed)
+	hash := fnv.New64a()
+	hash.Write(input[:])
+	return int64(hash.Sum64() >> 20 % uint64(max(n, 1)))
 }
--- a/internal/transport/desk.go
+++ b/internal/transport/desk.go
@@ -18,7 +18,7 @@
 	told   func(decision.RolloutStatus)
 	voted  func(how decision.Outcome)
 	state  func(address string, why error) // without a reason it is heard
-	chance *seededrand.Chance
+	chance *seededrand.Source
 	votes  chan decision.Vote
 	moved  chan struct{} // holds one once the address has changed
 	number int           // of the last call
@@ -43,7 +43,7 @@
 // how a vote ended, and of the connection's coming and going.
 func NewDesk(address string, within time.Duration,
 	told func(decision.RolloutStatus), voted func(how decision.Outcome),
-	state func(address string, why error), chance *seededrand.Chance) *Desk {
+	state func(address string, why error), chance *seededrand.Source) *Desk {
 	return &Desk{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
 		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}
 }
@@ -81,7 +81,7 @@
 // Run keeps the connection until the context ends. One that was heard is replaced soon, one after another
 // that is not, later each time.
 func (d *Desk) Run(ctx context.Context) {
-	d.rest(ctx, d.chance.Time(deskFirst))
+	d.rest(ctx, d.chance.Duration(deskFirst))
 	for pause := deskAgain; ctx.Err() == nil; {
 		number := d.number + 1
 		address := d.at()
@@ -96,7 +96,7 @@
 			continue
 		}
 		d.state(address, err)
-		d.rest(ctx, pause+d.chance.Time(pause))
+		d.rest(ctx, pause+d.chance.Duration(pause))
 		pause = min(2*pause, deskMost)
 	}
 }
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -22,7 +22,7 @@
 	begun    func()
 	told     func(text []byte, anew bool) (revision int64, err error)
 	failed   func(error)
-	chance   *seededrand.Chance
+	chance   *seededrand.Source
 	revision int64
 	anew     bool // the next call asks for all, from no revision on: discovery has come back with an older list
 	watching atomic.Bool
@@ -48,7 +48,7 @@
 // NewDiscovery takes the address, how long the list may go unasked, the revision that is known, and whom
 // to tell of a list that begins to come, of an answer, which gives its revision, or of a failure.
 func NewDiscovery(address string, wait time.Duration, revision int64, begun func(),
-	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Chance) *Discovery {
+	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Source) *Discovery {
 	wait = min(wait, waitMost)
 	return &Discovery{address: address, wait: wait, begun: begun, told: told, failed: failed, revision: revision, leave: func() {},
 		chance: chance,
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		d.failed(d.watch(ctx))
 		select {
-		case <-time.After(keepAgain/2 + d.chance.Time(keepAgain)):
+		case <-time.After(keepAgain/2 + d.chance.Duration(keepAgain)):
 		case <-ctx.Done():
 		}
 	}
@@ -129,7 +129,7 @@
 // had begun to come that was not taken in.
 func (d *Discovery) call(ctx context.Context, leave context.CancelFunc, address string, first bool) (begun bool, err error) {
 	var answering atomic.Bool
-	wait := d.wait - d.chance.Time(d.wait/waitLot)
+	wait := d.wait - d.chance.Duration(d.wait/waitLot)
 	stalled := time.AfterFunc(wait+graceAfterWait, leave)
 	defer stalled.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -12,7 +12,7 @@
 // Agent keeps trust fresh beside a gateway, in the background, and tells which builds may be taken. It decides neither
 // when (package schedule does), nor what is trusted, nor what becomes of a build.
 type Agent struct {
-	operator *Operator
+	operator *OperatorConfig
 	client   *Client
 	plan     *schedule.Scheduler
 	busy     func() bool
@@ -34,7 +34,7 @@
 )
 
 // NewAgent takes a client that is the agent's from here on, whether commands wait, and whom to tell of a build.
-func NewAgent(o *Operator, c *Client, seed uint64, busy func() bool, told func(build int, trusted bool)) *Agent {
+func NewAgent(o *OperatorConfig, c *Client, seed uint64, busy func() bool, told func(build int, trusted bool)) *Agent {
 	a := &Agent{operator: o, client: c, plan: schedule.New(seed, schedule.Ordinary), busy: busy, told: told,
 		asked: make(chan int, askedMost), begun: time.Now()}
 	a.refresh = &schedule.Job{Name: "refresh", Priority: 2, Every: o.RefreshEvery(), Descriptors: 2}
@@ -45,7 +45,7 @@
 
 // Build asks whether a build may be taken. It does not wait; where too many are asked for, the agent's next round
 // answers.
-func (a *Agent) Build(build int) {
+func (a *Agent) CheckBuild(build int) {
 	select {
 	case a.asked <- build:
 	default:
@@ -54,7 +54,7 @@
 
 // Reload reads the operator's file again and takes from it which mirrors drain; all else stands until the next start.
 func (a *Agent) Reload(file string) error {
-	o, err := Load(file)
+	o, err := LoadOperatorConfig(file)
 	if err == nil {
 		a.client.Drain(o.Draining)
 	}
--- a/internal/tuf/operator.go
+++ b/internal/tuf/operator.go
@@ -27,7 +27,7 @@
 var schema []byte
 
 // Operator is what an operator's file says. A file with a fault is rejected whole.
-type Operator struct {
+type OperatorConfig struct {
 	Root           string   `json:"root"`
 	Store          string   `json:"store"`
 	Mirrors        []string `json:"mirrors"`
@@ -37,7 +37,7 @@
 	FetchMs        int64    `json:"fetch_within_ms"`
 	StandsMs       int64    `json:"stands_ms"`
 	SlackMs        int64    `json:"clock_slack_ms"`
-	Builds         string   `json:"builds"`
+	BuildTarget    string   `json:"builds"`
 	Bytes          struct {
 		Root      int64 `json:"root"`
 		Timestamp int64 `json:"timestamp"`
@@ -52,11 +52,11 @@
 }
 
 // Fault is what is wrong with an operator's file.
-type Fault struct {
+type ConfigError struct {
 	File, Field, Reason string
 }
 
-func (f *Fault) Error() string {
+func (f *ConfigError) Error() string {
 	if f.Field == "" {
 		return fmt.Sprintf("%s: %s", f.File, f.Reason)
 	}
@@ -64,12 +64,12 @@
 }
 
 // Load reads an operator's file, with the root that it names.
-func Load(file string) (*Operator, error) {
+func LoadOperatorConfig(file string) (*OperatorConfig, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &Fault{File: file, Reason: err.Error()}
+		return nil, &ConfigError{File: file, Reason: err.Error()}
 	}
-	o, fault := Parse(text)
+	o, fault := ParseOperatorConfig(text)
 	if fault != nil {
 		fault.File = file
 		return nil, fault
@@ -82,56 +82,56 @@
 	}
 	o.Root, o.Store = at(o.Root), at(o.Store)
 	if o.root, err = os.ReadFile(o.Root); err != nil {
-		return nil, &Fault{file, "root", err.Error()}
+		return nil, &ConfigError{file, "root", err.Error()}
 	}
 	return o, nil
 }
 
 // Parse checks a text against the schema and reads it.
-func Parse(text []byte) (*Operator, *Fault) {
+func ParseOperatorConfig(text []byte) (*OperatorConfig, *ConfigError) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return nil, &Fault{Reason: "it is not JSON: " + err.Error()}
+		return nil, &ConfigError{Reason: "it is not JSON: " + err.Error()}
 	}
 	rules, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
-		return nil, &Fault{Reason: "the schema is not JSON: " + err.Error()}
+		return nil, &ConfigError{Reason: "the schema is not JSON: " + err.Error()}
 	}
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource("operator.json", rules); err != nil {
-		return nil, &Fault{Reason: err.Error()}
+		return nil, &ConfigError{Reason: err.Error()}
 	}
 	s, err := c.Compile("operator.json")
 	if err != nil {
-		return nil, &Fault{Reason: err.Error()}
+		return nil, &ConfigError{Reason: err.Error()}
 	}
 	if err := s.Validate(doc); err != nil {
 		return nil, first(err)
 	}
-	o := &Operator{RefreshEveryMs: 600_000, RefreshMs: 30_000, FetchMs: 300_000,
+	o := &OperatorConfig{RefreshEveryMs: 600_000, RefreshMs: 30_000, FetchMs: 300_000,
 		StandsMs: verifiedmetadata.Ordinary.Stands / 1e6, SlackMs: verifiedmetadata.Ordinary.ClockSlack / 1e6}
 	o.Bytes.Root, o.Bytes.Timestamp = verifiedmetadata.Ordinary.Root, verifiedmetadata.Ordinary.Timestamp
 	o.Bytes.Snapshot, o.Bytes.Targets = verifiedmetadata.Ordinary.Snapshot, verifiedmetadata.Ordinary.Targets
 	o.Attempts, o.StallMs, o.Pace = mirrorpool.Ordinary.Attempts, mirrorpool.Ordinary.Stall.Milliseconds(), mirrorpool.Ordinary.Pace
 	if err := json.Unmarshal(text, o); err != nil {
-		return nil, &Fault{Reason: err.Error()}
+		return nil, &ConfigError{Reason: err.Error()}
 	}
 	for i, name := range o.Draining {
 		if !slices.Contains(o.Mirrors, name) {
-			return nil, &Fault{Field: fmt.Sprint("draining.", i), Reason: "is not among the mirrors"}
+			return nil, &ConfigError{Field: fmt.Sprint("draining.", i), Reason: "is not among the mirrors"}
 		}
 	}
-	if o.Builds != "" && !verifiedmetadata.SafePath(o.target(1)) {
-		return nil, &Fault{Field: "builds", Reason: "the target's path could leave its folder"}
+	if o.BuildTarget != "" && !verifiedmetadata.SafePath(o.target(1)) {
+		return nil, &ConfigError{Field: "builds", Reason: "the target's path could leave its folder"}
 	}
 	return o, nil
 }
 
 // first words the first fault that the schema finds, with the field's place.
-func first(err error) *Fault {
+func first(err error) *ConfigError {
 	var bad *jsonschema.ValidationError
 	if !errors.As(err, &bad) {
-		return &Fault{Reason: err.Error()}
+		return &ConfigError{Reason: err.Error()}
 	}
 	for len(bad.Causes) > 0 {
 		bad = bad.Causes[0]
@@ -139,33 +139,35 @@
 	field := strings.Join(bad.InstanceLocation, ".")
 	switch k := bad.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		return &Fault{Field: strings.Join(append(bad.InstanceLocation, k.Properties[0]), "."), Reason: "is not known"}
+		return &ConfigError{Field: strings.Join(append(bad.InstanceLocation, k.Properties[0]), "."), Reason: "is not known"}
 	case *kind.Required:
-		return &Fault{Field: strings.Join(append(bad.InstanceLocation, k.Missing[0]), "."), Reason: "is missing"}
+		return &ConfigError{Field: strings.Join(append(bad.InstanceLocation, k.Missing[0]), "."), Reason: "is missing"}
 	}
-	return &Fault{Field: field, Reason: bad.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
+	return &ConfigError{Field: field, Reason: bad.ErrorKind.LocalizedString(message.NewPrinter(language.English))}
 }
 
 // target is the target that vouches for a build.
-func (o *Operator) target(build int) string {
-	return strings.ReplaceAll(o.Builds, "{build}", strconv.Itoa(build))
+func (o *OperatorConfig) target(build int) string {
+	return strings.ReplaceAll(o.BuildTarget, "{build}", strconv.Itoa(build))
 }
 
 // RefreshWithin is how long a refresh of the metadata may take.
-func (o *Operator) RefreshWithin() time.Duration {
+func (o *OperatorConfig) RefreshWithin() time.Duration {
 	return time.Duration(o.RefreshMs) * time.Millisecond
 }
 
 // FetchWithin is how long a fetch of a target may take.
-func (o *Operator) FetchWithin() time.Duration { return time.Duration(o.FetchMs) * time.Millisecond }
+func (o *OperatorConfig) FetchWithin() time.Duration {
+	return time.Duration(o.FetchMs) * time.Millisecond
+}
 
 // RefreshEvery is how often an agent refreshes.
-func (o *Operator) RefreshEvery() time.Duration {
+func (o *OperatorConfig) RefreshEvery() time.Duration {
 	return time.Duration(o.RefreshEveryMs) * time.Millisecond
 }
 
 // Client makes a client as the file says, with its store, which the caller closes.
-func (o *Operator) Client(seed uint64, now func() int64, watch Watcher) (*Client, *store.Store, error) {
+func (o *OperatorConfig) NewClient(seed uint64, now func() int64, watch Watcher) (*Client, *store.Store, error) {
 	kept := store.Memory()
 	if o.Store != "" {
 		var err error
