--- a/internal/mirrorpool/mirrorpool.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -13,72 +13,72 @@
 
 // Limits bound each fetch, and all together.
 type Limits struct {
-	Attempts   int           // of one fetch
-	Each       time.Duration // one attempt takes at most
-	Stall      time.Duration // no byte comes for so long: it has stalled
-	Pace       int64         // bytes a second that an attempt brings at least, once
-	PaceAfter  time.Duration // it has gone on for so long
-	AtOnce     int           // fetches under way at one mirror
-	AsideFirst time.Duration // a mirror that failed is left alone for so long, twice as long at each further failure
-	AsideMost  time.Duration
-	Bytes      int64         // all fetches may bring within
-	Within     time.Duration // this time
+	MaxAttempts            int           // of one fetch
+	AttemptTimeout         time.Duration // one attempt takes at most
+	StallTimeout           time.Duration // no byte comes for so long: it has stalled
+	MinBytesPerSecond      int64         // bytes a second that an attempt brings at least, once
+	RateGracePeriod        time.Duration // it has gone on for so long
+	MaxConcurrentPerMirror int           // fetches under way at one mirror
+	InitialBackoff         time.Duration // a mirror that failed is left alone for so long, twice as long at each further failure
+	MaxBackoff             time.Duration
+	BudgetBytes            int64         // all fetches may bring within
+	BudgetWindow           time.Duration // this time
 }
 
 // Ordinary limits suit metadata and targets of some megabytes.
-var Ordinary = Limits{Attempts: 6, Each: 20 * time.Second, Stall: 2 * time.Second, Pace: 8 << 10,
-	PaceAfter: 3 * time.Second, AtOnce: 4, AsideFirst: time.Second, AsideMost: time.Minute,
-	Bytes: 256 << 20, Within: time.Minute}
+var DefaultLimits = Limits{MaxAttempts: 6, AttemptTimeout: 20 * time.Second, StallTimeout: 2 * time.Second, MinBytesPerSecond: 8 << 10,
+	RateGracePeriod: 3 * time.Second, MaxConcurrentPerMirror: 4, InitialBackoff: time.Second, MaxBackoff: time.Minute,
+	BudgetBytes: 256 << 20, BudgetWindow: time.Minute}
 
 // How says how an attempt ended.
-type How uint8
+type AttemptOutcome uint8
 
 // The ways. Brought: whole and trusted. Missing: the mirror does not have it. Bad: what came is not trusted. Large: it
 // is longer than it may be. The others brought a part or nothing.
 const (
-	Brought How = iota
-	Missing
-	Bad
-	Large
-	Stalled
-	Slow
-	Closed
-	Refused
-	Redirected
-	TookTooLong
-	Called // off by us
+	OutcomeCompleted AttemptOutcome = iota
+	OutcomeNotFound
+	OutcomeUnverified
+	OutcomeTooLarge
+	OutcomeStalled
+	OutcomeTooSlow
+	OutcomeClosedEarly
+	OutcomeRefused
+	OutcomeRedirected
+	OutcomeTimedOut
+	OutcomeCanceled // off by us
 )
 
-var hows = [...]string{"brought", "missing", "bad", "too large", "stalled", "too slow", "closed early", "refused",
+var outcomeTexts = [...]string{"brought", "missing", "bad", "too large", "stalled", "too slow", "closed early", "refused",
 	"redirected", "took too long", "called off"}
 
 // String names it for people, metrics and programs.
-func (h How) String() string { return hows[h] }
+func (h AttemptOutcome) String() string { return outcomeTexts[h] }
 
 // Mirror is one of them.
 type Mirror struct {
-	Name    string
-	inHand  int
-	strikes int
-	asideAt int64 // until then it is left alone
-	leaving bool
-	last    How
-	served  int
-	failed  int
+	Name                string
+	inFlight            int
+	consecutiveFailures int
+	backoffUntil        int64 // until then it is left alone
+	draining            bool
+	lastOutcome         AttemptOutcome
+	served              int
+	failed              int
 }
 
 // Pool is all the mirrors. It is owned by one goroutine.
 type Pool struct {
 	limits  Limits
 	mirrors []*Mirror
-	chance  *seededrand.Source
+	random  *seededrand.Source
 	spent   float64 // bytes of the budget, running off with time
 	spentAt int64
 }
 
 // NewPool takes the mirrors' names in the operator's order and a seed, by which gateways spread over them.
 func NewPool(names []string, seed uint64, limits Limits) *Pool {
-	p := &Pool{limits: limits, chance: seededrand.New(seed)}
+	p := &Pool{limits: limits, random: seededrand.New(seed)}
 	for _, name := range names {
 		p.mirrors = append(p.mirrors, &Mirror{Name: name})
 	}
@@ -86,10 +86,10 @@
 }
 
 // Drain has nothing new go to a mirror from here on; what is under way there goes on. It tells whether there is one.
-func (p *Pool) Drain(name string, on bool) bool {
+func (p *Pool) SetDraining(name string, on bool) bool {
 	for _, m := range p.mirrors {
 		if m.Name == name {
-			m.leaving = on
+			m.draining = on
 			return true
 		}
 	}
@@ -97,9 +97,9 @@
 }
 
 // Drained has nothing new go to these mirrors, and to all others again.
-func (p *Pool) Drained(names []string) {
+func (p *Pool) SetDrainingMirrors(names []string) {
 	for _, m := range p.mirrors {
-		m.leaving = slices.Contains(names, m.Name)
+		m.draining = slices.Contains(names, m.Name)
 	}
 }
 
@@ -123,58 +123,58 @@
 
 // Fetch is one file on its way. Its outcome is final once Over.
 type Fetch struct {
-	pool     *Pool
-	most     int64 // bytes
-	until    int64
-	to       *Mirror // under way there
-	begunAt  int64
-	came     int64 // bytes of this attempt
-	cameAt   int64
-	have     int64 // bytes that are verified
-	attempts int
-	tried    map[*Mirror]int
-	missing  int
-	last     How // how the last attempt ended
-	over     bool
-	how      How
+	pool        *Pool
+	maxBytes    int64 // bytes
+	deadline    int64
+	mirror      *Mirror // under way there
+	startedAt   int64
+	received    int64 // bytes of this attempt
+	receivedAt  int64
+	verified    int64 // bytes that are verified
+	attempts    int
+	tried       map[*Mirror]int
+	notFound    int
+	lastOutcome AttemptOutcome // how the last attempt ended
+	done        bool
+	outcome     AttemptOutcome
 }
 
 // Begin begins a fetch of a file of so many bytes at most, to be over by a moment.
-func (p *Pool) Begin(most, until int64) *Fetch {
-	return &Fetch{pool: p, most: most, until: until, tried: map[*Mirror]int{}, how: Refused}
+func (p *Pool) NewFetch(most, until int64) *Fetch {
+	return &Fetch{pool: p, maxBytes: most, deadline: until, tried: map[*Mirror]int{}, outcome: OutcomeRefused}
 }
 
 // Next tells what to do now, while nothing is under way.
-func (f *Fetch) Next(now int64) Step {
+func (f *Fetch) NextStep(now int64) Step {
 	p := f.pool
 	switch {
-	case f.over || f.to != nil:
+	case f.done || f.mirror != nil:
 		return Step{Act: Over}
-	case now >= f.until:
-		return f.end(TookTooLong)
-	case f.attempts >= p.limits.Attempts:
-		return f.end(f.how)
+	case now >= f.deadline:
+		return f.end(OutcomeTimedOut)
+	case f.attempts >= p.limits.MaxAttempts:
+		return f.end(f.outcome)
 	}
-	if at := p.affordable(now, f.most-f.have); at > now {
-		if at >= f.until {
-			return f.end(TookTooLong)
+	if at := p.affordable(now, f.maxBytes-f.verified); at > now {
+		if at >= f.deadline {
+			return f.end(OutcomeTimedOut)
 		}
 		return Step{Act: Wait, Until: at}
 	}
 	to, at := p.pick(f, now)
 	switch {
 	case to == nil && at == math.MaxInt64:
-		return f.end(f.how)
-	case to == nil && at >= f.until: // it would come too late: the answer goes out at once
-		return f.end(f.how)
+		return f.end(f.outcome)
+	case to == nil && at >= f.deadline: // it would come too late: the answer goes out at once
+		return f.end(f.outcome)
 	case to == nil:
 		return Step{Act: Wait, Until: at}
 	}
-	f.to, f.begunAt, f.came, f.cameAt = to, now, 0, now
+	f.mirror, f.startedAt, f.received, f.receivedAt = to, now, 0, now
 	f.attempts++
 	f.tried[to]++
-	to.inHand++
-	return Step{Act: Try, To: to, From: f.have, Until: min(f.until, now+int64(p.limits.Each))}
+	to.inFlight++
+	return Step{Act: Try, To: to, From: f.verified, Until: min(f.deadline, now+int64(p.limits.AttemptTimeout))}
 }
 
 // pick draws among the mirrors that are not left alone and that this fetch has tried least; where all are left alone
@@ -183,15 +183,15 @@
 	var some []*Mirror
 	least, at := math.MaxInt, int64(math.MaxInt64)
 	for _, m := range p.mirrors {
-		if m.leaving {
+		if m.draining {
 			continue
 		}
-		if m.inHand >= p.limits.AtOnce {
-			at = min(at, now+int64(p.limits.Stall))
+		if m.inFlight >= p.limits.MaxConcurrentPerMirror {
+			at = min(at, now+int64(p.limits.StallTimeout))
 			continue
 		}
-		if now < m.asideAt {
-			at = min(at, m.asideAt)
+		if now < m.backoffUntil {
+			at = min(at, m.backoffUntil)
 			continue
 		}
 		if n := f.tried[m]; n < least {
@@ -204,15 +204,15 @@
 	if len(some) == 0 {
 		return nil, at
 	}
-	return some[p.chance.Int64N(int64(len(some)))], now
+	return some[p.random.Int64N(int64(len(some)))], now
 }
 
 // affordable is the moment at which the budget of bytes allows so many more.
 func (p *Pool) affordable(now, more int64) int64 {
-	rate := float64(p.limits.Bytes) / float64(p.limits.Within)
+	rate := float64(p.limits.BudgetBytes) / float64(p.limits.BudgetWindow)
 	p.spent = max(0, p.spent-rate*float64(max(0, now-p.spentAt)))
 	p.spentAt = max(now, p.spentAt)
-	over := p.spent + float64(min(more, p.limits.Bytes)) - float64(p.limits.Bytes)
+	over := p.spent + float64(min(more, p.limits.BudgetBytes)) - float64(p.limits.BudgetBytes)
 	if over <= 0 {
 		return now
 	}
@@ -221,39 +221,39 @@
 
 // Came tells that bytes came, and how many of the file are verified by now; it tells whether to go on. Where not, the
 // attempt has ended.
-func (f *Fetch) Came(n, verified, now int64) bool {
-	if f.to == nil {
+func (f *Fetch) Received(n, verified, now int64) bool {
+	if f.mirror == nil {
 		return false
 	}
-	f.came += n
+	f.received += n
 	f.pool.spent += float64(n)
-	f.have = max(f.have, verified)
+	f.verified = max(f.verified, verified)
 	if n > 0 {
-		f.cameAt = now
+		f.receivedAt = now
 	}
-	if f.came > f.most { // also where a part was asked for and all comes
-		f.Ended(Large, now)
+	if f.received > f.maxBytes { // also where a part was asked for and all comes
+		f.FinishAttempt(OutcomeTooLarge, now)
 		return false
 	}
-	return f.Check(now)
+	return f.CheckAttempt(now)
 }
 
 // Whole tells whether all that the file may be is verified.
-func (f *Fetch) Whole(verified int64) bool { return verified > 0 && verified == f.most }
+func (f *Fetch) IsComplete(verified int64) bool { return verified > 0 && verified == f.maxBytes }
 
 // Check tells whether an attempt may go on; it is asked when bytes come, and by CheckAt.
-func (f *Fetch) Check(now int64) bool {
+func (f *Fetch) CheckAttempt(now int64) bool {
 	l := &f.pool.limits
-	going := now - f.begunAt
+	going := now - f.startedAt
 	switch {
-	case f.to == nil:
+	case f.mirror == nil:
 		return false
-	case now >= f.until || going >= int64(l.Each):
-		f.Ended(TookTooLong, now)
-	case now-f.cameAt >= int64(l.Stall):
-		f.Ended(Stalled, now)
-	case going >= int64(l.PaceAfter) && float64(f.came) < float64(l.Pace)*float64(going)/float64(time.Second):
-		f.Ended(Slow, now)
+	case now >= f.deadline || going >= int64(l.AttemptTimeout):
+		f.FinishAttempt(OutcomeTimedOut, now)
+	case now-f.receivedAt >= int64(l.StallTimeout):
+		f.FinishAttempt(OutcomeStalled, now)
+	case going >= int64(l.RateGracePeriod) && float64(f.received) < float64(l.MinBytesPerSecond)*float64(going)/float64(time.Second):
+		f.FinishAttempt(OutcomeTooSlow, now)
 	default:
 		return true
 	}
@@ -261,44 +261,44 @@
 }
 
 // CheckAt is when an attempt is to be checked next if nothing comes.
-func (f *Fetch) CheckAt() int64 {
+func (f *Fetch) NextCheck() int64 {
 	l := &f.pool.limits
-	at := min(f.until, f.begunAt+int64(l.Each), f.cameAt+int64(l.Stall))
-	if l.Pace > 0 { // when what has come is too little for the pace
-		at = min(at, max(f.begunAt+int64(l.PaceAfter), f.begunAt+f.came*int64(time.Second)/l.Pace+1))
+	at := min(f.deadline, f.startedAt+int64(l.AttemptTimeout), f.receivedAt+int64(l.StallTimeout))
+	if l.MinBytesPerSecond > 0 { // when what has come is too little for the pace
+		at = min(at, max(f.startedAt+int64(l.RateGracePeriod), f.startedAt+f.received*int64(time.Second)/l.MinBytesPerSecond+1))
 	}
 	return at
 }
 
 // Ended tells how an attempt ended. A mirror that does not have what another may have is no fault of its; any other
 // failure has it left alone, longer each time, by lot, so that gateways do not come back at once.
-func (f *Fetch) Ended(how How, now int64) {
-	m := f.to
+func (f *Fetch) FinishAttempt(how AttemptOutcome, now int64) {
+	m := f.mirror
 	if m == nil {
 		return
 	}
-	f.to = nil
-	m.inHand--
-	m.last, f.last = how, how
+	f.mirror = nil
+	m.inFlight--
+	m.lastOutcome, f.lastOutcome = how, how
 	p := f.pool
 	switch how {
-	case Brought:
-		m.strikes, m.asideAt = 0, 0
+	case OutcomeCompleted:
+		m.consecutiveFailures, m.backoffUntil = 0, 0
 		m.served++
-		f.end(Brought)
-	case Missing:
-		f.missing++
-		if f.how = Missing; f.missing >= 2 || !p.others(f, now) {
-			f.end(Missing)
+		f.end(OutcomeCompleted)
+	case OutcomeNotFound:
+		f.notFound++
+		if f.outcome = OutcomeNotFound; f.notFound >= 2 || !p.others(f, now) {
+			f.end(OutcomeNotFound)
 		}
-	case Called:
-		f.end(Called)
+	case OutcomeCanceled:
+		f.end(OutcomeCanceled)
 	default:
-		m.strikes++
+		m.consecutiveFailures++
 		m.failed++
-		pause := min(p.limits.AsideMost, p.limits.AsideFirst<<min(m.strikes-1, 16))
-		m.asideAt = now + int64(pause+p.chance.Duration(pause))
-		f.how = how
+		pause := min(p.limits.MaxBackoff, p.limits.InitialBackoff<<min(m.consecutiveFailures-1, 16))
+		m.backoffUntil = now + int64(pause+p.random.Duration(pause))
+		f.outcome = how
 	}
 }
 
@@ -306,7 +306,7 @@
 // it still shows expires; where no other can be asked, its word stands.
 func (p *Pool) others(f *Fetch, now int64) bool {
 	for _, m := range p.mirrors {
-		if !m.leaving && now >= m.asideAt && f.tried[m] == 0 {
+		if !m.draining && now >= m.backoffUntil && f.tried[m] == 0 {
 			return true
 		}
 	}
@@ -314,49 +314,51 @@
 }
 
 // Misses is how many mirrors said that they do not have the file.
-func (f *Fetch) Misses() int { return f.missing }
+func (f *Fetch) NotFoundCount() int { return f.notFound }
 
 // Restart begins a file anew: what was verified turned out to be another file's.
-func (f *Fetch) Restart() { f.have = 0 }
+func (f *Fetch) Restart() { f.verified = 0 }
 
-func (f *Fetch) end(how How) Step {
-	if !f.over {
-		f.over, f.how = true, how
+func (f *Fetch) end(how AttemptOutcome) Step {
+	if !f.done {
+		f.done, f.outcome = true, how
 	}
 	return Step{Act: Over}
 }
 
 // Give ends a fetch by the caller's will.
-func (f *Fetch) Give(now int64) {
-	f.Ended(Called, now)
-	f.end(Called)
+func (f *Fetch) Cancel(now int64) {
+	f.FinishAttempt(OutcomeCanceled, now)
+	f.end(OutcomeCanceled)
 }
 
 // Outcome is how the fetch ended; it has none before.
-func (f *Fetch) Outcome() (how How, over bool) { return f.how, f.over }
+func (f *Fetch) Outcome() (how AttemptOutcome, over bool) { return f.outcome, f.done }
 
 // Last is how the last attempt ended, if one has, and none is under way.
-func (f *Fetch) Last() (how How, ended bool) { return f.last, f.to == nil && f.attempts > 0 }
+func (f *Fetch) LastAttempt() (how AttemptOutcome, ended bool) {
+	return f.lastOutcome, f.mirror == nil && f.attempts > 0
+}
 
 // State is what is known of a mirror.
-type State struct {
-	Name    string `json:"mirror"`
-	Aside   int64  `json:"aside_ns,omitempty"` // how long it is still left alone
-	Leaving bool   `json:"draining,omitempty"`
-	Last    string `json:"last"`
-	Served  int    `json:"served"`
-	Failed  int    `json:"failed"`
+type MirrorState struct {
+	Name        string `json:"mirror"`
+	Backoff     int64  `json:"aside_ns,omitempty"` // how long it is still left alone
+	Draining    bool   `json:"draining,omitempty"`
+	LastOutcome string `json:"last"`
+	Served      int    `json:"served"`
+	Failed      int    `json:"failed"`
 }
 
 // States tells what is known of the mirrors, in the operator's order.
-func (p *Pool) States(now int64) []State {
-	var all []State
+func (p *Pool) States(now int64) []MirrorState {
+	var all []MirrorState
 	for _, m := range p.mirrors {
 		last := "never asked"
-		if m.served+m.failed > 0 || m.last != Brought {
-			last = m.last.String()
+		if m.served+m.failed > 0 || m.lastOutcome != OutcomeCompleted {
+			last = m.lastOutcome.String()
 		}
-		all = append(all, State{m.Name, max(0, m.asideAt-now), m.leaving, last, m.served, m.failed})
+		all = append(all, MirrorState{m.Name, max(0, m.backoffUntil-now), m.draining, last, m.served, m.failed})
 	}
 	return all
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -12,73 +12,73 @@
 
 // Limits are the budgets of all jobs together.
 type Limits struct {
-	Window      time.Duration // over which time and bytes run off
-	Time        time.Duration // of work within the window
-	Bytes       int64         // within the window
-	Descriptors int           // held at once
-	AtOnce      int           // jobs that run at once
-	Jobs        int           // that are known at once
-	BusyFor     time.Duration // a job that waits for a quiet moment waits no longer than so, or than twice its period
+	Window        time.Duration // over which time and bytes run off
+	WorkTime      time.Duration // of work within the window
+	Bytes         int64         // within the window
+	Descriptors   int           // held at once
+	MaxConcurrent int           // jobs that run at once
+	MaxJobs       int           // that are known at once
+	MaxDeferral   time.Duration // a job that waits for a quiet moment waits no longer than so, or than twice its period
 }
 
 // Ordinary limits leave nineteen twentieths of one core to the commands.
-var Ordinary = Limits{Window: 10 * time.Second, Time: 500 * time.Millisecond, Bytes: 64 << 20, Descriptors: 16, AtOnce: 2,
-	Jobs: 64, BusyFor: 30 * time.Second}
+var DefaultLimits = Limits{Window: 10 * time.Second, WorkTime: 500 * time.Millisecond, Bytes: 64 << 20, Descriptors: 16, MaxConcurrent: 2,
+	MaxJobs: 64, MaxDeferral: 30 * time.Second}
 
 // Job is work that comes again and again, or once.
 type Job struct {
 	Name        string
 	Priority    int           // a higher one goes first
-	Every       time.Duration // 0: once
+	Period      time.Duration // 0: once
 	Descriptors int
 	Run         func() // for the runner; nothing here calls it
 
-	dueAt   int64
-	running bool
-	gone    bool
-	used    float64 // its time lately, running off: of equals the one that used least goes first
-	usedAt  int64
-	order   int
+	dueAt    int64
+	running  bool
+	removed  bool
+	usedTime float64 // its time lately, running off: of equals the one that used least goes first
+	usedAt   int64
+	order    int
 }
 
 // Scheduler keeps the jobs. It is owned by one goroutine.
 type Scheduler struct {
-	limits  Limits
-	chance  *seededrand.Source
-	jobs    []*Job
-	added   int
-	running int
-	held    int
-	time    float64
-	bytes   float64
-	spentAt int64
+	limits      Limits
+	random      *seededrand.Source
+	jobs        []*Job
+	added       int
+	running     int
+	descriptors int
+	spentTime   float64
+	spentBytes  float64
+	spentAt     int64
 }
 
 // ErrFull says that as many jobs are known as may be.
-var ErrFull = errors.New("as many jobs are known as may be")
+var ErrTooManyJobs = errors.New("as many jobs are known as may be")
 
 // New takes the limits and a seed, by which gateways come apart.
 func New(seed uint64, limits Limits) *Scheduler {
-	return &Scheduler{chance: seededrand.New(seed), limits: limits}
+	return &Scheduler{random: seededrand.New(seed), limits: limits}
 }
 
 // Add takes a job in: the first time is by lot within its period, and each further one up to a tenth of it later.
 func (s *Scheduler) Add(j *Job, now int64) error {
-	if len(s.jobs) >= s.limits.Jobs {
-		return ErrFull
+	if len(s.jobs) >= s.limits.MaxJobs {
+		return ErrTooManyJobs
 	}
 	s.added++
-	j.dueAt, j.order, j.gone, j.running = now+s.chance.Int64N(int64(j.Every)), s.added, false, false
+	j.dueAt, j.order, j.removed, j.running = now+s.random.Int64N(int64(j.Period)), s.added, false, false
 	s.jobs = append(s.jobs, j)
 	return nil
 }
 
 // Soon has a job come at once.
-func (s *Scheduler) Soon(j *Job, now int64) { j.dueAt = min(j.dueAt, now) }
+func (s *Scheduler) RunSoon(j *Job, now int64) { j.dueAt = min(j.dueAt, now) }
 
 // Cancel takes a job out. One that runs is let go of at its end.
-func (s *Scheduler) Cancel(j *Job) {
-	j.gone = true
+func (s *Scheduler) Remove(j *Job) {
+	j.removed = true
 	for i, o := range s.jobs {
 		if o == j {
 			s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
@@ -87,24 +87,24 @@
 	}
 }
 
-func (s *Scheduler) fade(now int64) {
+func (s *Scheduler) decay(now int64) {
 	left := math.Exp(-float64(max(0, now-s.spentAt)) / float64(s.limits.Window))
-	s.time, s.bytes, s.spentAt = s.time*left, s.bytes*left, max(now, s.spentAt)
+	s.spentTime, s.spentBytes, s.spentAt = s.spentTime*left, s.spentBytes*left, max(now, s.spentAt)
 }
 
 func (j *Job) lately(now int64, window time.Duration) float64 {
-	return j.used * math.Exp(-float64(max(0, now-j.usedAt))/float64(window))
+	return j.usedTime * math.Exp(-float64(max(0, now-j.usedAt))/float64(window))
 }
 
 // Next gives the job that is to run now, if any, and when to ask again. While commands wait, only what has itself
 // waited for long enough runs, one at a time.
 func (s *Scheduler) Next(now int64, commandsWait bool) (*Job, int64) {
-	s.fade(now)
+	s.decay(now)
 	again := now + int64(s.limits.Window)
-	if s.running >= s.limits.AtOnce || commandsWait && s.running > 0 {
+	if s.running >= s.limits.MaxConcurrent || commandsWait && s.running > 0 {
 		return nil, again // a job's end asks again
 	}
-	if s.time >= float64(s.limits.Time) || s.bytes >= float64(s.limits.Bytes) {
+	if s.spentTime >= float64(s.limits.WorkTime) || s.spentBytes >= float64(s.limits.Bytes) {
 		return nil, now + s.recovers()
 	}
 	var best *Job
@@ -114,13 +114,13 @@
 		}
 		at := j.dueAt
 		if commandsWait {
-			at += s.patience(j)
+			at += s.deferral(j)
 		}
 		if at > now {
 			again = min(again, at)
 			continue
 		}
-		if s.held+j.Descriptors > s.limits.Descriptors {
+		if s.descriptors+j.Descriptors > s.limits.Descriptors {
 			continue // an end frees them
 		}
 		if best == nil || s.before(j, best, now) {
@@ -132,7 +132,7 @@
 	}
 	best.running = true
 	s.running++
-	s.held += best.Descriptors
+	s.descriptors += best.Descriptors
 	return best, now
 }
 
@@ -152,37 +152,37 @@
 }
 
 // patience is how long a job waits for a quiet moment: one that comes often does so for twice its period at most.
-func (s *Scheduler) patience(j *Job) int64 {
-	if j.Every > 0 {
-		return int64(min(s.limits.BusyFor, 2*j.Every))
+func (s *Scheduler) deferral(j *Job) int64 {
+	if j.Period > 0 {
+		return int64(min(s.limits.MaxDeferral, 2*j.Period))
 	}
-	return int64(s.limits.BusyFor)
+	return int64(s.limits.MaxDeferral)
 }
 
 func (s *Scheduler) starves(j *Job, now int64) bool {
-	return now-j.dueAt > int64(max(2*j.Every, s.limits.BusyFor))
+	return now-j.dueAt > int64(max(2*j.Period, s.limits.MaxDeferral))
 }
 
 // recovers is how long until the budgets allow a job again.
 func (s *Scheduler) recovers() int64 {
-	over := max(s.time/float64(s.limits.Time), s.bytes/float64(s.limits.Bytes), 1)
+	over := max(s.spentTime/float64(s.limits.WorkTime), s.spentBytes/float64(s.limits.Bytes), 1)
 	return int64(math.Ceil(math.Log(over)*float64(s.limits.Window))) + int64(time.Millisecond)
 }
 
 // Ended tells that a job has ended, and what it took.
-func (s *Scheduler) Ended(j *Job, took time.Duration, bytes int64, now int64) {
+func (s *Scheduler) Finish(j *Job, took time.Duration, bytes int64, now int64) {
 	if !j.running {
 		return
 	}
-	s.fade(now)
+	s.decay(now)
 	j.running = false
 	s.running--
-	s.held -= j.Descriptors
-	s.time += float64(took)
-	s.bytes += float64(bytes)
-	j.used, j.usedAt = j.lately(now, s.limits.Window)+float64(took), now
-	if j.Every == 0 && !j.gone {
-		s.Cancel(j)
+	s.descriptors -= j.Descriptors
+	s.spentTime += float64(took)
+	s.spentBytes += float64(bytes)
+	j.usedTime, j.usedAt = j.lately(now, s.limits.Window)+float64(took), now
+	if j.Period == 0 && !j.removed {
+		s.Remove(j)
 	}
-	j.dueAt = now + int64(j.Every) + s.chance.Int64N(int64(j.Every/10))
+	j.dueAt = now + int64(j.Period) + s.random.Int64N(int64(j.Period/10))
 }
--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -35,11 +35,11 @@
 
 // NewAgent takes a client that is the agent's from here on, whether commands wait, and whom to tell of a build.
 func NewAgent(o *OperatorConfig, c *Client, seed uint64, busy func() bool, told func(build int, trusted bool)) *Agent {
-	a := &Agent{operator: o, client: c, plan: schedule.New(seed, schedule.Ordinary), busy: busy, told: told,
+	a := &Agent{operator: o, client: c, plan: schedule.New(seed, schedule.DefaultLimits), busy: busy, told: told,
 		asked: make(chan int, askedMost), begun: time.Now()}
-	a.refresh = &schedule.Job{Name: "refresh", Priority: 2, Every: o.RefreshEvery(), Descriptors: 2}
-	a.check = &schedule.Job{Name: "builds", Priority: 1, Every: min(o.RefreshEvery(), checkEvery), Descriptors: 2}
-	a.clean = &schedule.Job{Name: "clean-up", Every: cleanEvery}
+	a.refresh = &schedule.Job{Name: "refresh", Priority: 2, Period: o.RefreshEvery(), Descriptors: 2}
+	a.check = &schedule.Job{Name: "builds", Priority: 1, Period: min(o.RefreshEvery(), checkEvery), Descriptors: 2}
+	a.clean = &schedule.Job{Name: "clean-up", Period: cleanEvery}
 	return a
 }
 
@@ -56,7 +56,7 @@
 func (a *Agent) Reload(file string) error {
 	o, err := LoadOperatorConfig(file)
 	if err == nil {
-		a.client.Drain(o.Draining)
+		a.client.SetDraining(o.Draining)
 	}
 	return err
 }
@@ -71,21 +71,21 @@
 			return
 		}
 	}
-	a.plan.Soon(a.refresh, a.now())
+	a.plan.RunSoon(a.refresh, a.now())
 	for {
 		job, at := a.plan.Next(a.now(), a.busy())
 		if job != nil {
 			begun := time.Now()
 			a.bytes = 0
 			a.work(ctx, job)
-			a.plan.Ended(job, time.Since(begun), a.bytes, a.now())
+			a.plan.Finish(job, time.Since(begun), a.bytes, a.now())
 			continue
 		}
 		again := time.NewTimer(time.Duration(max(at-a.now(), int64(time.Millisecond))))
 		select {
 		case build := <-a.asked:
 			a.know(build)
-			a.plan.Soon(a.check, a.now())
+			a.plan.RunSoon(a.check, a.now())
 		case <-again.C:
 		case <-ctx.Done():
 			again.Stop()
@@ -101,21 +101,21 @@
 		if a.bytes = spent.Bytes; refused != nil {
 			slog.Warn("the metadata are not refreshed", "cause", refused)
 		}
-		a.plan.Soon(a.check, a.now())
+		a.plan.RunSoon(a.check, a.now())
 		return
 	}
 	if job == a.clean {
-		if n := a.client.Clean(); n > 0 {
+		if n := a.client.RemoveUnlisted(); n > 0 {
 			slog.Info("targets that nobody lists any more are gone", "targets", n)
 		}
 		return
 	}
 	for _, build := range a.builds {
-		var spent Spent
-		_, refused := a.client.Target(ctx, a.operator.target(build), a.operator.RefreshWithin(), &spent)
+		var spent Usage
+		_, refused := a.client.FindTarget(ctx, a.operator.target(build), a.operator.RefreshWithin(), &spent)
 		if a.bytes += spent.Bytes; refused != nil {
 			slog.Warn("a build is not trusted", "build", build, "cause", refused)
-			if refused.Reason == verifiedmetadata.Unavailable {
+			if refused.Reason == verifiedmetadata.ReasonUnavailable {
 				continue // what was told stands until its time is over
 			}
 		}
--- a/internal/tuf/operator.go
+++ b/internal/tuf/operator.go
@@ -109,10 +109,10 @@
 		return nil, first(err)
 	}
 	o := &OperatorConfig{RefreshEveryMs: 600_000, RefreshMs: 30_000, FetchMs: 300_000,
-		StandsMs: verifiedmetadata.Ordinary.Stands / 1e6, SlackMs: verifiedmetadata.Ordinary.ClockSlack / 1e6}
-	o.Bytes.Root, o.Bytes.Timestamp = verifiedmetadata.Ordinary.Root, verifiedmetadata.Ordinary.Timestamp
-	o.Bytes.Snapshot, o.Bytes.Targets = verifiedmetadata.Ordinary.Snapshot, verifiedmetadata.Ordinary.Targets
-	o.Attempts, o.StallMs, o.Pace = mirrorpool.Ordinary.Attempts, mirrorpool.Ordinary.Stall.Milliseconds(), mirrorpool.Ordinary.Pace
+		StandsMs: verifiedmetadata.DefaultLimits.MaxStaleness / 1e6, SlackMs: verifiedmetadata.DefaultLimits.ClockSlack / 1e6}
+	o.Bytes.Root, o.Bytes.Timestamp = verifiedmetadata.DefaultLimits.RootBytes, verifiedmetadata.DefaultLimits.TimestampBytes
+	o.Bytes.Snapshot, o.Bytes.Targets = verifiedmetadata.DefaultLimits.SnapshotBytes, verifiedmetadata.DefaultLimits.TargetsBytes
+	o.Attempts, o.StallMs, o.Pace = mirrorpool.DefaultLimits.MaxAttempts, mirrorpool.DefaultLimits.StallTimeout.Milliseconds(), mirrorpool.DefaultLimits.MinBytesPerSecond
 	if err := json.Unmarshal(text, o); err != nil {
 		return nil, &ConfigError{Reason: err.Error()}
 	}
@@ -121,7 +121,7 @@
 			return nil, &ConfigError{Field: fmt.Sprint("draining.", i), Reason: "is not among the mirrors"}
 		}
 	}
-	if o.BuildTarget != "" && !verifiedmetadata.SafePath(o.target(1)) {
+	if o.BuildTarget != "" && !verifiedmetadata.IsSafePath(o.target(1)) {
 		return nil, &ConfigError{Field: "builds", Reason: "the target's path could leave its folder"}
 	}
 	return o, nil
@@ -167,24 +167,24 @@
 }
 
 // Client makes a client as the file says, with its store, which the caller closes.
-func (o *OperatorConfig) NewClient(seed uint64, now func() int64, watch Watcher) (*Client, *store.Store, error) {
-	kept := store.Memory()
+func (o *OperatorConfig) NewClient(seed uint64, now func() int64, watch Observer) (*Client, *store.Store, error) {
+	kept := store.NewMemory()
 	if o.Store != "" {
 		var err error
 		if kept, err = store.Open(o.Store); err != nil {
 			return nil, nil, err
 		}
 	}
-	limits := verifiedmetadata.Ordinary
-	limits.Root, limits.Timestamp, limits.Snapshot, limits.Targets = o.Bytes.Root, o.Bytes.Timestamp, o.Bytes.Snapshot, o.Bytes.Targets
-	limits.Stands, limits.ClockSlack = o.StandsMs*1e6, o.SlackMs*1e6
-	pace := mirrorpool.Ordinary
-	pace.Attempts, pace.Stall, pace.Pace = o.Attempts, time.Duration(o.StallMs)*time.Millisecond, o.Pace
-	c, err := New(o.root, limits, mirrorpool.NewPool(o.Mirrors, seed, pace), kept, now, watch)
+	limits := verifiedmetadata.DefaultLimits
+	limits.RootBytes, limits.TimestampBytes, limits.SnapshotBytes, limits.TargetsBytes = o.Bytes.Root, o.Bytes.Timestamp, o.Bytes.Snapshot, o.Bytes.Targets
+	limits.MaxStaleness, limits.ClockSlack = o.StandsMs*1e6, o.SlackMs*1e6
+	pace := mirrorpool.DefaultLimits
+	pace.MaxAttempts, pace.StallTimeout, pace.MinBytesPerSecond = o.Attempts, time.Duration(o.StallMs)*time.Millisecond, o.Pace
+	c, err := NewClient(o.root, limits, mirrorpool.NewPool(o.Mirrors, seed, pace), kept, now, watch)
 	if err != nil {
 		kept.Close()
 		return nil, nil, err
 	}
-	c.Drain(o.Draining)
+	c.SetDraining(o.Draining)
 	return c, kept, nil
 }
--- a/internal/tuf/tufmetrics/metrics.go
+++ b/internal/tuf/tufmetrics/metrics.go
@@ -45,7 +45,7 @@
 	return m
 }
 
-func reasonOf(refused *verifiedmetadata.Refusal) string {
+func reasonOf(refused *verifiedmetadata.VerificationError) string {
 	if refused == nil {
 		return "trusted"
 	}
@@ -53,32 +53,32 @@
 }
 
 // Refreshed tells how a refresh ended.
-func (m *Metrics) Refreshed(refused *verifiedmetadata.Refusal, spent tuf.Spent) {
+func (m *Metrics) RefreshFinished(refused *verifiedmetadata.VerificationError, spent tuf.Usage) {
 	m.refreshes.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
-	m.seconds.Observe(time.Duration(spent.Took).Seconds())
+	m.seconds.Observe(time.Duration(spent.Duration).Seconds())
 }
 
 // Fetched tells how a fetch of a target ended.
-func (m *Metrics) Fetched(refused *verifiedmetadata.Refusal, spent tuf.Spent) {
+func (m *Metrics) FetchFinished(refused *verifiedmetadata.VerificationError, spent tuf.Usage) {
 	m.fetches.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
 }
 
 // Tried tells how an attempt at a mirror ended.
-func (m *Metrics) Tried(name string, how mirrorpool.How) {
+func (m *Metrics) AttemptFinished(name string, how mirrorpool.AttemptOutcome) {
 	m.attempts.WithLabelValues(name, how.String()).Inc()
 }
 
 // Unkept tells that the store did not keep a change.
-func (m *Metrics) Unkept() { m.lost.Inc() }
+func (m *Metrics) StoreFailed() { m.lost.Inc() }
 
 // Standing tells how the roles and the mirrors are.
-func (m *Metrics) Standing(s tuf.Status, now int64) {
+func (m *Metrics) StatusReported(s tuf.Status, now int64) {
 	for _, r := range s.Roles {
 		m.lasts.WithLabelValues(r.Name).Set(time.Duration(r.Expires - now).Seconds())
 	}
 	for _, one := range s.Mirrors {
-		m.aside.WithLabelValues(one.Name).Set(time.Duration(one.Aside).Seconds())
+		m.aside.WithLabelValues(one.Name).Set(time.Duration(one.Backoff).Seconds())
 	}
 }
--- a/internal/tuftest/mirror.go
+++ b/internal/tuftest/mirror.go
@@ -18,9 +18,9 @@
 
 // Mirror serves a copy of a repository.
 type Mirror struct {
-	URL   string
-	Asked atomic.Int64
-	Bytes atomic.Int64
+	URL       string
+	Requests  atomic.Int64
+	BytesSent atomic.Int64
 
 	server *httptest.Server
 	ended  chan struct{}
@@ -46,21 +46,21 @@
 }
 
 // Sync has it serve these files from here on.
-func (m *Mirror) Sync(files map[string][]byte) {
+func (m *Mirror) SetFiles(files map[string][]byte) {
 	m.mu.Lock()
 	m.files = maps.Clone(files)
 	m.mu.Unlock()
 }
 
 // Plant has it act by a fault from here on; nil mends it.
-func (m *Mirror) Plant(f Fault) {
+func (m *Mirror) SetFault(f Fault) {
 	m.mu.Lock()
 	m.fault = f
 	m.mu.Unlock()
 }
 
 func (m *Mirror) serve(out http.ResponseWriter, in *http.Request) {
-	m.Asked.Add(1)
+	m.Requests.Add(1)
 	name := strings.TrimPrefix(in.URL.Path, "/")
 	m.mu.Lock()
 	data, ok := m.files[name]
@@ -76,7 +76,7 @@
 		}
 	}()
 	in = in.WithContext(ctx)
-	count := &counting{ResponseWriter: out, bytes: &m.Bytes}
+	count := &counting{ResponseWriter: out, bytes: &m.BytesSent}
 	if fault != nil && fault(count, in, name, data) {
 		return
 	}
@@ -100,7 +100,7 @@
 func (c *counting) Flush() { c.ResponseWriter.(http.Flusher).Flush() }
 
 // Only plants a fault for one file.
-func Only(name string, f Fault) Fault {
+func OnlyFor(name string, f Fault) Fault {
 	return func(out http.ResponseWriter, in *http.Request, at string, data []byte) bool {
 		return strings.HasSuffix(at, name) && f(out, in, at, data)
 	}
@@ -129,7 +129,7 @@
 }
 
 // Stall stops after so many bytes and keeps the connection.
-func Stall(after int) Fault {
+func StallAfter(after int) Fault {
 	return func(out http.ResponseWriter, in *http.Request, _ string, data []byte) bool {
 		if data == nil {
 			return false
@@ -161,7 +161,7 @@
 }
 
 // Early ends the connection after so many bytes of more that it promised.
-func Early(after int) Fault {
+func CloseAfter(after int) Fault {
 	return func(out http.ResponseWriter, in *http.Request, _ string, data []byte) bool {
 		if data == nil {
 			return false
@@ -186,7 +186,7 @@
 }
 
 // Redirect sends elsewhere.
-func Redirect(to string) Fault {
+func RedirectTo(to string) Fault {
 	return func(out http.ResponseWriter, in *http.Request, name string, _ []byte) bool {
 		http.Redirect(out, in, to+name, http.StatusFound)
 		return true
@@ -194,7 +194,7 @@
 }
 
 // Other answers with these bytes, whatever was asked for.
-func Other(data []byte) Fault {
+func RespondWith(data []byte) Fault {
 	return func(out http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
 		out.Write(data)
 		return true
@@ -202,7 +202,7 @@
 }
 
 // Alter changes one byte in the middle.
-func Alter(out http.ResponseWriter, _ *http.Request, _ string, data []byte) bool {
+func Corrupt(out http.ResponseWriter, _ *http.Request, _ string, data []byte) bool {
 	if data == nil {
 		return false
 	}
@@ -213,7 +213,7 @@
 }
 
 // Fail answers that the server has failed.
-func Fail(out http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
+func FailRequest(out http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
 	out.WriteHeader(http.StatusInternalServerError)
 	return true
 }
--- a/internal/tuftest/repository.go
+++ b/internal/tuftest/repository.go
@@ -47,16 +47,16 @@
 	Timestamp  *metadata.Metadata[metadata.TimestampType]
 	Snapshot   *metadata.Metadata[metadata.SnapshotType]
 	Targets    map[string]*metadata.Metadata[metadata.TargetsType]
-	Lasts      time.Duration // how long what is signed from here on lasts
+	Validity   time.Duration // how long what is signed from here on lasts
 	Now        func() time.Time
 	consistent bool
 }
 
 // New makes a repository with a root of two keys, both needed, and one key for each other role.
-func New(consistent bool, now func() time.Time) *Repository {
-	r := &Repository{Files: map[string][]byte{}, Keys: map[string][]*Key{}, Lasts: time.Hour, Now: now, consistent: consistent,
+func NewRepository(consistent bool, now func() time.Time) *Repository {
+	r := &Repository{Files: map[string][]byte{}, Keys: map[string][]*Key{}, Validity: time.Hour, Now: now, consistent: consistent,
 		Targets: map[string]*metadata.Metadata[metadata.TargetsType]{}}
-	r.Root = metadata.Root(r.Until())
+	r.Root = metadata.Root(r.Expiry())
 	r.Root.Signed.ConsistentSnapshot = consistent
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
 		r.AddKey(role)
@@ -64,16 +64,16 @@
 	r.AddKey(metadata.ROOT)
 	r.Root.Signed.Roles[metadata.ROOT].Threshold = 2
 	r.SignRoot(r.Keys[metadata.ROOT])
-	r.Targets[metadata.TARGETS] = metadata.Targets(r.Until())
+	r.Targets[metadata.TARGETS] = metadata.Targets(r.Expiry())
 	r.Targets[metadata.TARGETS].Signed.Version = 0
-	r.Snapshot, r.Timestamp = metadata.Snapshot(r.Until()), metadata.Timestamp(r.Until())
+	r.Snapshot, r.Timestamp = metadata.Snapshot(r.Expiry()), metadata.Timestamp(r.Expiry())
 	r.Snapshot.Signed.Version, r.Timestamp.Signed.Version = 0, 0
 	r.Publish()
 	return r
 }
 
 // Until is when what is signed now expires.
-func (r *Repository) Until() time.Time { return r.Now().Add(r.Lasts).UTC().Truncate(time.Second) }
+func (r *Repository) Expiry() time.Time { return r.Now().Add(r.Validity).UTC().Truncate(time.Second) }
 
 // AddKey gives a role one more key; what it signs changes with the next signing.
 func (r *Repository) AddKey(role string) *Key {
@@ -84,7 +84,7 @@
 }
 
 // Replace gives a role a new key in the place of all it had.
-func (r *Repository) Replace(role string) {
+func (r *Repository) ReplaceKeys(role string) {
 	for _, key := range r.Keys[role] {
 		id, err := key.public.ID()
 		must(err)
@@ -96,12 +96,12 @@
 
 // SignRoot signs the root as it is by these keys and files it as its version.
 func (r *Repository) SignRoot(by []*Key) {
-	r.Root.Signed.Expires = r.Until()
+	r.Root.Signed.Expires = r.Expiry()
 	r.Files[fmt.Sprintf("%d.root.json", r.Root.Signed.Version)] = sign(r.Root, by)
 }
 
 // NextRoot files a root of the next version, signed by the keys of before and of now.
-func (r *Repository) NextRoot(change func()) {
+func (r *Repository) PublishRoot(change func()) {
 	before := r.Keys[metadata.ROOT]
 	by := append([]*Key(nil), before...)
 	r.Root.Signed.Version++
@@ -119,7 +119,7 @@
 }
 
 // FirstRoot is what an operator is handed.
-func (r *Repository) FirstRoot() []byte { return r.Files["1.root.json"] }
+func (r *Repository) InitialRoot() []byte { return r.Files["1.root.json"] }
 
 func sign[T metadata.Roles](one *metadata.Metadata[T], by []*Key) []byte {
 	one.ClearSignatures()
@@ -136,7 +136,7 @@
 func Sign[T metadata.Roles](one *metadata.Metadata[T], by ...*Key) []byte { return sign(one, by) }
 
 // Put lists a target in a role; blocks, where given, has it tell the hash of each so many bytes.
-func (r *Repository) Put(role, path string, data []byte, block int) {
+func (r *Repository) AddTarget(role, path string, data []byte, block int) {
 	file, err := metadata.TargetFile().FromBytes(path, data, "sha256")
 	must(err)
 	if block > 0 {
@@ -174,7 +174,7 @@
 func (r *Repository) Delegate(from, to string, terminating bool, paths ...string) {
 	if r.Keys[to] == nil {
 		r.Keys[to] = []*Key{NewKey()}
-		r.Targets[to] = metadata.Targets(r.Until())
+		r.Targets[to] = metadata.Targets(r.Expiry())
 		r.Targets[to].Signed.Version = 0
 	}
 	one := &r.Targets[from].Signed
@@ -193,31 +193,31 @@
 func (r *Repository) Publish() {
 	for role, one := range r.Targets {
 		one.Signed.Version++
-		one.Signed.Expires = r.Until()
+		one.Signed.Expires = r.Expiry()
 		text := sign(one, r.Keys[role])
 		r.Snapshot.Signed.Meta[role+".json"] = metaOf(one.Signed.Version, text)
-		r.file(role, one.Signed.Version, text)
+		r.addFile(role, one.Signed.Version, text)
 	}
 	r.Snapshot.Signed.Version++
-	r.Snapshot.Signed.Expires = r.Until()
+	r.Snapshot.Signed.Expires = r.Expiry()
 	r.PutSnapshot(sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]))
 }
 
 // PutSnapshot files a snapshot's bytes and has the next timestamp name them.
 func (r *Repository) PutSnapshot(text []byte) {
-	r.file(metadata.SNAPSHOT, r.Snapshot.Signed.Version, text)
+	r.addFile(metadata.SNAPSHOT, r.Snapshot.Signed.Version, text)
 	r.Timestamp.Signed.Meta["snapshot.json"] = metaOf(r.Snapshot.Signed.Version, text)
-	r.Stamp()
+	r.PublishTimestamp()
 }
 
 // Stamp signs the next timestamp.
-func (r *Repository) Stamp() {
+func (r *Repository) PublishTimestamp() {
 	r.Timestamp.Signed.Version++
-	r.Timestamp.Signed.Expires = r.Until()
+	r.Timestamp.Signed.Expires = r.Expiry()
 	r.Files["timestamp.json"] = sign(r.Timestamp, r.Keys[metadata.TIMESTAMP])
 }
 
-func (r *Repository) file(role string, version int64, text []byte) {
+func (r *Repository) addFile(role string, version int64, text []byte) {
 	if r.consistent {
 		r.Files[fmt.Sprintf("%d.%s.json", version, role)] = text
 	} else {
@@ -231,4 +231,4 @@
 }
 
 // Copy is all files as they are now.
-func (r *Repository) Copy() map[string][]byte { return maps.Clone(r.Files) }
+func (r *Repository) CopyFiles() map[string][]byte { return maps.Clone(r.Files) }
--- a/internal/verifiedmetadata/path.go
+++ b/internal/verifiedmetadata/path.go
@@ -5,7 +5,7 @@
 const pathMost = 512 // bytes of a target's path
 
 // SafePath tells whether a target's path stays in the folder that it is put into, on any system.
-func SafePath(path string) bool {
+func IsSafePath(path string) bool {
 	if path == "" || len(path) > pathMost || strings.ContainsAny(path, "\\:\x00") {
 		return false
 	}
