--- /dev/null
+++ b/internal/store/lock.go
@@ -0,0 +1,33 @@
+package store
+
+import (
+	"os"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	lockTimeout       = time.Second // how long Open waits for another process to release the lock
+	lockRetryInterval = 20 * time.Millisecond
+)
+
+// acquireLock takes an advisory lock on a file. The kernel releases it when the process ends, however it ends.
+func acquireLock(path string) (*os.File, error) {
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		switch err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
+		case err == nil:
+			return file, nil
+		case err != unix.EWOULDBLOCK && err != unix.EINTR:
+			file.Close()
+			return nil, err
+		case time.Now().After(deadline):
+			file.Close()
+			return nil, ErrInUse
+		}
+	}
+}
