--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -115,7 +115,7 @@
 		_, refused := a.client.FindTarget(ctx, a.operator.target(build), a.operator.RefreshWithin(), &spent)
 		if a.bytes += spent.Bytes; refused != nil {
 			slog.Warn("a build is not trusted", "build", build, "cause", refused)
-			if refused.Reason == verifiedmetadata.ReasonUnavailable {
+			if verifiedmetadata.ReasonOf(refused) == verifiedmetadata.ReasonUnavailable {
 				continue // what was told stands until its time is over
 			}
 		}
--- a/internal/tuf/client.go
+++ b/internal/tuf/client.go
@@ -32,7 +32,7 @@
 	watch  Observer
 	unkept error // why the last change was not kept
 	drains atomic.Pointer[[]string]
-	left   []*verifiedmetadata.VerificationError
+	left   []error
 }
 
 const metadataFolder, targetFolder = "", "targets/"
@@ -42,9 +42,9 @@
 	if watch == nil {
 		watch = noObserver{}
 	}
-	k, left := verifiedmetadata.NewVerifier(root, limits, kept.Records())
-	if k == nil {
-		return nil, left[0]
+	k, left, err := verifiedmetadata.NewVerifier(root, limits, kept.Records())
+	if err != nil {
+		return nil, err
 	}
 	return &Client{keeper: k, pool: pool, store: kept, now: now, begun: time.Now(), watch: watch, left: left,
 		http: &http.Client{
@@ -56,8 +56,8 @@
 
 // Watcher is told what a client does.
 type Observer interface {
-	RefreshFinished(refused *verifiedmetadata.VerificationError, spent Usage)
-	FetchFinished(refused *verifiedmetadata.VerificationError, spent Usage)
+	RefreshFinished(refused error, spent Usage)
+	FetchFinished(refused error, spent Usage)
 	AttemptFinished(mirror string, how mirrorpool.AttemptOutcome)
 	StoreFailed()
 	StatusReported(s Status, now int64)
@@ -65,11 +65,11 @@
 
 type noObserver struct{}
 
-func (noObserver) RefreshFinished(*verifiedmetadata.VerificationError, Usage) {}
-func (noObserver) FetchFinished(*verifiedmetadata.VerificationError, Usage)   {}
-func (noObserver) AttemptFinished(string, mirrorpool.AttemptOutcome)          {}
-func (noObserver) StoreFailed()                                               {}
-func (noObserver) StatusReported(Status, int64)                               {}
+func (noObserver) RefreshFinished(error, Usage)                      {}
+func (noObserver) FetchFinished(error, Usage)                        {}
+func (noObserver) AttemptFinished(string, mirrorpool.AttemptOutcome) {}
+func (noObserver) StoreFailed()                                      {}
+func (noObserver) StatusReported(Status, int64)                      {}
 
 // Close lets go of its connections; the store is its owner's.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
@@ -97,7 +97,7 @@
 
 // Refresh brings the metadata of the roles up to date within a time. A refusal says why what was trusted stands
 // instead.
-func (c *Client) Refresh(ctx context.Context, within time.Duration) (spent Usage, refused *verifiedmetadata.VerificationError) {
+func (c *Client) Refresh(ctx context.Context, within time.Duration) (spent Usage, refused error) {
 	until := c.steady() + int64(within)
 	defer func(begun int64) {
 		spent.Duration = c.steady() - begun
@@ -128,7 +128,7 @@
 // metadata brings one file of metadata to whoever takes it, from one mirror after the other until one's is taken. It
 // tells whether an optional one is missing.
 func (c *Client) metadata(ctx context.Context, want verifiedmetadata.NeededFile, until int64, spent *Usage,
-	take func([]byte) *verifiedmetadata.VerificationError) (missing bool, refused *verifiedmetadata.VerificationError) {
+	take func([]byte) error) (missing bool, refused error) {
 	f := c.pool.NewFetch(want.MaxBytes, until)
 	var text bytes.Buffer
 	how := c.bring(ctx, f, metadataFolder+want.Name, spent, func(from int64) (io.Writer, error) {
@@ -149,7 +149,7 @@
 }
 
 // verdict is why a file was not had: what came was not trusted, or nothing whole came.
-func verdict(of string, how mirrorpool.AttemptOutcome, refused *verifiedmetadata.VerificationError) *verifiedmetadata.VerificationError {
+func verdict(of string, how mirrorpool.AttemptOutcome, refused error) error {
 	switch {
 	case refused != nil:
 		return refused
@@ -268,7 +268,7 @@
 }
 
 // Target looks for a target, fetching the metadata of roles that it needs on the way.
-func (c *Client) FindTarget(ctx context.Context, path string, within time.Duration, spent *Usage) (*verifiedmetadata.Target, *verifiedmetadata.VerificationError) {
+func (c *Client) FindTarget(ctx context.Context, path string, within time.Duration, spent *Usage) (*verifiedmetadata.Target, error) {
 	until := c.steady() + int64(within)
 	s, refused := c.keeper.SearchTarget(path, c.now())
 	if refused != nil {
@@ -287,7 +287,7 @@
 }
 
 // Fetch brings a target into the store. What is handed over is whole and trusted, or nothing is.
-func (c *Client) FetchTarget(ctx context.Context, path string, within time.Duration) (t *verifiedmetadata.Target, spent Usage, refused *verifiedmetadata.VerificationError) {
+func (c *Client) FetchTarget(ctx context.Context, path string, within time.Duration) (t *verifiedmetadata.Target, spent Usage, refused error) {
 	begun := c.steady()
 	defer func() {
 		spent.Duration = c.steady() - begun
@@ -323,7 +323,7 @@
 	return t, spent, nil
 }
 
-func unkept(path string, err error) *verifiedmetadata.VerificationError {
+func unkept(path string, err error) error {
 	return &verifiedmetadata.VerificationError{Reason: verifiedmetadata.ReasonUnavailable, Subject: path, Detail: "it cannot be kept: " + err.Error()}
 }
 
@@ -336,7 +336,7 @@
 	skip  int64 // bytes to come that are written already
 	block []byte
 	sums  map[string]hash.Hash
-	bad   *verifiedmetadata.VerificationError
+	bad   error
 }
 
 func (c *check) reset() error {
@@ -399,7 +399,7 @@
 }
 
 // whole tells whether all of the target came, and nothing else.
-func (c *check) whole() *verifiedmetadata.VerificationError {
+func (c *check) whole() error {
 	if c.done != c.t.Length {
 		return &verifiedmetadata.VerificationError{Reason: verifiedmetadata.ReasonWrongLength, Subject: c.t.Path, Detail: fmt.Sprintf("%d bytes of %d", c.done, c.t.Length)}
 	}
@@ -415,7 +415,7 @@
 }
 
 // Verify reads a target that was fetched and tells whether it is still what the roles list now.
-func (c *Client) VerifyTarget(path string) *verifiedmetadata.VerificationError {
+func (c *Client) VerifyTarget(path string) error {
 	t, refused := c.keeper.LookupTarget(path, c.now())
 	if refused != nil {
 		return refused
@@ -437,7 +437,7 @@
 // Clean lets go of the targets that were fetched and that no role lists any more; it tells how many.
 func (c *Client) RemoveUnlisted() (gone int) {
 	for _, path := range c.store.TargetPaths() {
-		if refused := c.CheckTrusted(path); refused == nil || refused.Reason != verifiedmetadata.ReasonNotListed {
+		if refused := c.CheckTrusted(path); verifiedmetadata.ReasonOf(refused) != verifiedmetadata.ReasonNotListed {
 			continue
 		}
 		if c.store.RemoveTarget(path) == nil {
@@ -448,7 +448,7 @@
 }
 
 // Trusted tells whether a target may be used now, by what is trusted already.
-func (c *Client) CheckTrusted(path string) *verifiedmetadata.VerificationError {
+func (c *Client) CheckTrusted(path string) error {
 	_, refused := c.keeper.LookupTarget(path, c.now())
 	return refused
 }
--- a/internal/tuf/operator.go
+++ b/internal/tuf/operator.go
@@ -109,7 +109,7 @@
 		return nil, first(err)
 	}
 	o := &OperatorConfig{RefreshEveryMs: 600_000, RefreshMs: 30_000, FetchMs: 300_000,
-		StandsMs: verifiedmetadata.DefaultLimits.MaxStaleness / 1e6, SlackMs: verifiedmetadata.DefaultLimits.ClockSlack / 1e6}
+		StandsMs: verifiedmetadata.DefaultLimits.MaxStaleness.Milliseconds(), SlackMs: verifiedmetadata.DefaultLimits.ClockSlack.Milliseconds()}
 	o.Bytes.Root, o.Bytes.Timestamp = verifiedmetadata.DefaultLimits.RootBytes, verifiedmetadata.DefaultLimits.TimestampBytes
 	o.Bytes.Snapshot, o.Bytes.Targets = verifiedmetadata.DefaultLimits.SnapshotBytes, verifiedmetadata.DefaultLimits.TargetsBytes
 	o.Attempts, o.StallMs, o.Pace = mirrorpool.DefaultLimits.MaxAttempts, mirrorpool.DefaultLimits.StallTimeout.Milliseconds(), mirrorpool.DefaultLimits.MinBytesPerSecond
@@ -177,7 +177,7 @@
 	}
 	limits := verifiedmetadata.DefaultLimits
 	limits.RootBytes, limits.TimestampBytes, limits.SnapshotBytes, limits.TargetsBytes = o.Bytes.Root, o.Bytes.Timestamp, o.Bytes.Snapshot, o.Bytes.Targets
-	limits.MaxStaleness, limits.ClockSlack = o.StandsMs*1e6, o.SlackMs*1e6
+	limits.MaxStaleness, limits.ClockSlack = time.Duration(o.StandsMs)*time.Millisecond, time.Duration(o.SlackMs)*time.Millisecond
 	pace := mirrorpool.DefaultLimits
 	pace.MaxAttempts, pace.StallTimeout, pace.MinBytesPerSecond = o.Attempts, time.Duration(o.StallMs)*time.Millisecond, o.Pace
 	c, err := NewClient(o.root, limits, mirrorpool.NewPool(o.Mirrors, seed, pace), kept, now, watch)
--- a/internal/tuf/tufmetrics/metrics.go
+++ b/internal/tuf/tufmetrics/metrics.go
@@ -45,22 +45,22 @@
 	return m
 }
 
-func reasonOf(refused *verifiedmetadata.VerificationError) string {
+func reasonOf(refused error) string {
 	if refused == nil {
 		return "trusted"
 	}
-	return refused.Reason.String()
+	return verifiedmetadata.ReasonOf(refused).String()
 }
 
 // Refreshed tells how a refresh ended.
-func (m *Metrics) RefreshFinished(refused *verifiedmetadata.VerificationError, spent tuf.Usage) {
+func (m *Metrics) RefreshFinished(refused error, spent tuf.Usage) {
 	m.refreshes.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
 	m.seconds.Observe(time.Duration(spent.Duration).Seconds())
 }
 
 // Fetched tells how a fetch of a target ended.
-func (m *Metrics) FetchFinished(refused *verifiedmetadata.VerificationError, spent tuf.Usage) {
+func (m *Metrics) FetchFinished(refused error, spent tuf.Usage) {
 	m.fetches.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
 }
