--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,134 +1,146 @@
-// Package schedule decides when work in the background may run, so that it never costs a command its time: by
-// priority, with budgets of time, bytes and descriptors, fairly among equals. It does no I/O and reads no clock.
+// Package schedule decides when background jobs run, so that they never delay requests: by priority, within budgets of
+// time, bytes and descriptors, and fairly among jobs of equal priority. It does no I/O and reads no clock.
 package schedule
 
 import (
 	"errors"
 	"math"
+	"slices"
 	"time"
 
+	"laurelring/decision/monotonic"
 	"laurelring/internal/seededrand"
 )
 
 // Limits are the budgets of all jobs together.
 type Limits struct {
-	Window        time.Duration // over which time and bytes run off
-	WorkTime      time.Duration // of work within the window
+	Window        time.Duration // time constant with which spent time and bytes decay
+	WorkTime      time.Duration // within the window
 	Bytes         int64         // within the window
 	Descriptors   int           // held at once
 	MaxConcurrent int           // jobs that run at once
-	MaxJobs       int           // that are known at once
-	MaxDeferral   time.Duration // a job that waits for a quiet moment waits no longer than so, or than twice its period
+	MaxJobs       int           // known at once
+	MaxDeferral   time.Duration // a due job waits at most this long, or twice its period if that is less, for requests to clear
 }
 
-// Ordinary limits leave nineteen twentieths of one core to the commands.
-var DefaultLimits = Limits{Window: 10 * time.Second, WorkTime: 500 * time.Millisecond, Bytes: 64 << 20, Descriptors: 16, MaxConcurrent: 2,
-	MaxJobs: 64, MaxDeferral: 30 * time.Second}
+// DefaultLimits leave nineteen twentieths of one core to requests.
+var DefaultLimits = Limits{
+	Window:        10 * time.Second,
+	WorkTime:      500 * time.Millisecond,
+	Bytes:         64 << 20,
+	Descriptors:   16,
+	MaxConcurrent: 2,
+	MaxJobs:       64,
+	MaxDeferral:   30 * time.Second,
+}
+
+// jitterDivisor is the part of its period by which a job's next run is delayed at most, at random.
+const jitterDivisor = 10
 
-// Job is work that comes again and again, or once.
+// Job is work that runs periodically, or once. Its owner executes it; the scheduler only says when.
 type Job struct {
 	Name        string
 	Priority    int           // a higher one goes first
 	Period      time.Duration // 0: once
-	Descriptors int
-	Run         func() // for the runner; nothing here calls it
+	Descriptors int           // that it holds while it runs
 
-	dueAt    int64
+	dueAt    monotonic.Time
 	running  bool
 	removed  bool
-	usedTime float64 // its time lately, running off: of equals the one that used least goes first
-	usedAt   int64
-	order    int
+	usedTime float64 // of its runs, decaying: among equals the job that used least goes first
+	usedAt   monotonic.Time
+	order    int // in which jobs were added
 }
 
-// Scheduler keeps the jobs. It is owned by one goroutine.
+// Scheduler holds the jobs. It is not safe for concurrent use.
 type Scheduler struct {
 	limits      Limits
 	random      *seededrand.Source
 	jobs        []*Job
 	added       int
 	running     int
-	descriptors int
-	spentTime   float64
-	spentBytes  float64
-	spentAt     int64
+	descriptors int     // held by running jobs
+	spentTime   float64 // decaying
+	spentBytes  float64 // decaying
+	spentAt     monotonic.Time
 }
 
-// ErrFull says that as many jobs are known as may be.
-var ErrTooManyJobs = errors.New("as many jobs are known as may be")
+// ErrTooManyJobs is returned by Add at Limits.MaxJobs.
+var ErrTooManyJobs = errors.New("too many background jobs")
 
-// New takes the limits and a seed, by which gateways come apart.
+// New returns a scheduler without jobs. Gateways with different seeds run their jobs at different times.
 func New(seed uint64, limits Limits) *Scheduler {
 	return &Scheduler{random: seededrand.New(seed), limits: limits}
 }
 
-// Add takes a job in: the first time is by lot within its period, and each further one up to a tenth of it later.
-func (s *Scheduler) Add(j *Job, now int64) error {
+// Add adds a job. Its first run is at a random moment within its period, each further one a period after the end of the
+// last and up to a tenth of the period later.
+func (s *Scheduler) Add(job *Job, now monotonic.Time) error {
 	if len(s.jobs) >= s.limits.MaxJobs {
 		return ErrTooManyJobs
 	}
 	s.added++
-	j.dueAt, j.order, j.removed, j.running = now+s.random.Int64N(int64(j.Period)), s.added, false, false
-	s.jobs = append(s.jobs, j)
+	job.dueAt = now + s.random.Duration(job.Period)
+	job.order, job.removed, job.running = s.added, false, false
+	s.jobs = append(s.jobs, job)
 	return nil
 }
 
-// Soon has a job come at once.
-func (s *Scheduler) RunSoon(j *Job, now int64) { j.dueAt = min(j.dueAt, now) }
+// RunSoon makes a job due now.
+func (s *Scheduler) RunSoon(job *Job, now monotonic.Time) { job.dueAt = min(job.dueAt, now) }
 
-// Cancel takes a job out. One that runs is let go of at its end.
-func (s *Scheduler) Remove(j *Job) {
-	j.removed = true
-	for i, o := range s.jobs {
-		if o == j {
-			s.jobs = append(s.jobs[:i], s.jobs[i+1:]...)
-			return
-		}
+// Remove removes a job. One that runs keeps its descriptors until Finish.
+func (s *Scheduler) Remove(job *Job) {
+	job.removed = true
+	if i := slices.Index(s.jobs, job); i >= 0 {
+		s.jobs = slices.Delete(s.jobs, i, i+1)
 	}
 }
 
-func (s *Scheduler) decay(now int64) {
-	left := math.Exp(-float64(max(0, now-s.spentAt)) / float64(s.limits.Window))
-	s.spentTime, s.spentBytes, s.spentAt = s.spentTime*left, s.spentBytes*left, max(now, s.spentAt)
+// decay lets what was spent decay until now.
+func (s *Scheduler) decay(now monotonic.Time) {
+	factor := math.Exp(-float64(max(0, now-s.spentAt)) / float64(s.limits.Window))
+	s.spentTime, s.spentBytes, s.spentAt = s.spentTime*factor, s.spentBytes*factor, max(now, s.spentAt)
 }
 
-func (j *Job) lately(now int64, window time.Duration) float64 {
+// recentTime returns the time that the job used, decayed until now.
+func (j *Job) recentTime(now monotonic.Time, window time.Duration) float64 {
 	return j.usedTime * math.Exp(-float64(max(0, now-j.usedAt))/float64(window))
 }
 
-// Next gives the job that is to run now, if any, and when to ask again. While commands wait, only what has itself
-// waited for long enough runs, one at a time.
-func (s *Scheduler) Next(now int64, commandsWait bool) (*Job, int64) {
+// Next returns the job to run now, which is then running until Finish, or nil and when to ask again. While requests
+// wait a job runs only after it was deferred for as long as it may be, and alone.
+func (s *Scheduler) Next(now monotonic.Time, requestsWait bool) (*Job, monotonic.Time) {
 	s.decay(now)
-	again := now + int64(s.limits.Window)
-	if s.running >= s.limits.MaxConcurrent || commandsWait && s.running > 0 {
-		return nil, again // a job's end asks again
+	askAgain := now + s.limits.Window
+	if s.running >= s.limits.MaxConcurrent || requestsWait && s.running > 0 {
+		return nil, askAgain // the end of a job comes first
 	}
 	if s.spentTime >= float64(s.limits.WorkTime) || s.spentBytes >= float64(s.limits.Bytes) {
-		return nil, now + s.recovers()
+		return nil, now + s.recoveryTime()
 	}
 	var best *Job
-	for _, j := range s.jobs {
-		if j.running {
+	for _, job := range s.jobs {
+		if job.running {
 			continue
 		}
-		at := j.dueAt
-		if commandsWait {
-			at += s.deferral(j)
+		runAt := job.dueAt
+		if requestsWait {
+			runAt += s.deferral(job)
 		}
-		if at > now {
-			again = min(again, at)
+		if runAt > now {
+			askAgain = min(askAgain, runAt)
 			continue
 		}
-		if s.descriptors+j.Descriptors > s.limits.Descriptors {
-			continue // an end frees them
+		if s.descriptors+job.Descriptors > s.limits.Descriptors {
+			continue // until a job ends
 		}
-		if best == nil || s.before(j, best, now) {
-			best = j
+		if best == nil || s.precedes(job, best, now) {
+			best = job
 		}
 	}
 	if best == nil {
-		return nil, again
+		return nil, askAgain
 	}
 	best.running = true
 	s.running++
@@ -136,53 +148,55 @@
 	return best, now
 }
 
-// before tells which of two due jobs goes first: the higher priority, unless the other has waited twice its period;
-// then the one that used less time lately, then the one that has been due for longer.
-func (s *Scheduler) before(a, b *Job, now int64) bool {
-	if starves := s.starves(a, now); starves != s.starves(b, now) {
-		return starves
+// precedes reports whether a due job goes before another: a starved job first, then by priority, then the one that
+// used less time lately, then the one that has been due for longer.
+func (s *Scheduler) precedes(job, other *Job, now monotonic.Time) bool {
+	if starved := s.isStarved(job, now); starved != s.isStarved(other, now) {
+		return starved
 	}
-	if a.Priority != b.Priority {
-		return a.Priority > b.Priority
+	if job.Priority != other.Priority {
+		return job.Priority > other.Priority
 	}
-	if x, y := a.lately(now, s.limits.Window), b.lately(now, s.limits.Window); x != y {
-		return x < y
+	jobTime, otherTime := job.recentTime(now, s.limits.Window), other.recentTime(now, s.limits.Window)
+	if jobTime != otherTime {
+		return jobTime < otherTime
 	}
-	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.order < b.order
+	return job.dueAt < other.dueAt || job.dueAt == other.dueAt && job.order < other.order
 }
 
-// patience is how long a job waits for a quiet moment: one that comes often does so for twice its period at most.
-func (s *Scheduler) deferral(j *Job) int64 {
-	if j.Period > 0 {
-		return int64(min(s.limits.MaxDeferral, 2*j.Period))
+// deferral returns how long a due job waits for requests to clear.
+func (s *Scheduler) deferral(job *Job) time.Duration {
+	if job.Period > 0 {
+		return min(s.limits.MaxDeferral, 2*job.Period)
 	}
-	return int64(s.limits.MaxDeferral)
+	return s.limits.MaxDeferral
 }
 
-func (s *Scheduler) starves(j *Job, now int64) bool {
-	return now-j.dueAt > int64(max(2*j.Period, s.limits.MaxDeferral))
+func (s *Scheduler) isStarved(job *Job, now monotonic.Time) bool {
+	return now-job.dueAt > max(2*job.Period, s.limits.MaxDeferral)
 }
 
-// recovers is how long until the budgets allow a job again.
-func (s *Scheduler) recovers() int64 {
-	over := max(s.spentTime/float64(s.limits.WorkTime), s.spentBytes/float64(s.limits.Bytes), 1)
-	return int64(math.Ceil(math.Log(over)*float64(s.limits.Window))) + int64(time.Millisecond)
+// recoveryTime returns how long until what was spent has decayed to the budgets.
+func (s *Scheduler) recoveryTime() time.Duration {
+	excess := max(s.spentTime/float64(s.limits.WorkTime), s.spentBytes/float64(s.limits.Bytes), 1)
+	return time.Duration(math.Ceil(math.Log(excess)*float64(s.limits.Window))) + time.Millisecond
 }
 
-// Ended tells that a job has ended, and what it took.
-func (s *Scheduler) Finish(j *Job, took time.Duration, bytes int64, now int64) {
-	if !j.running {
+// Finish reports that a running job has ended, how long it ran and how many bytes it transferred. A job that runs once
+// is removed.
+func (s *Scheduler) Finish(job *Job, took time.Duration, bytes int64, now monotonic.Time) {
+	if !job.running {
 		return
 	}
 	s.decay(now)
-	j.running = false
+	job.running = false
 	s.running--
-	s.descriptors -= j.Descriptors
+	s.descriptors -= job.Descriptors
 	s.spentTime += float64(took)
 	s.spentBytes += float64(bytes)
-	j.usedTime, j.usedAt = j.lately(now, s.limits.Window)+float64(took), now
-	if j.Period == 0 && !j.removed {
-		s.Remove(j)
+	job.usedTime, job.usedAt = job.recentTime(now, s.limits.Window)+float64(took), now
+	if job.Period == 0 && !job.removed {
+		s.Remove(job)
 	}
-	j.dueAt = now + int64(j.Period) + s.random.Int64N(int64(j.Period/10))
+	job.dueAt = now + job.Period + s.random.Duration(job.Period/jitterDivisor)
 }
--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -3,134 +3,158 @@
 import (
 	"context"
 	"log/slog"
+	"slices"
 	"time"
 
+	"laurelring/decision/monotonic"
 	"laurelring/internal/schedule"
 	"laurelring/internal/verifiedmetadata"
 )
 
-// Agent keeps trust fresh beside a gateway, in the background, and tells which builds may be taken. It decides neither
-// when (package schedule does), nor what is trusted, nor what becomes of a build.
-type Agent struct {
-	operator *OperatorConfig
-	client   *Client
-	plan     *schedule.Scheduler
-	busy     func() bool
-	told     func(build int, trusted bool)
-	asked    chan int
-	builds   []int // the latest last
-	refresh  *schedule.Job
-	check    *schedule.Job
-	clean    *schedule.Job
-	bytes    int64 // of the job that runs
-	begun    time.Time
-}
-
 const (
-	buildsMost = 64 // builds that are known at once; the earliest are forgotten
-	askedMost  = 64
-	checkEvery = 5 * time.Second // what expires meanwhile is told this late
-	cleanEvery = time.Hour
+	maxBuilds         = 64 // builds that are checked periodically; the oldest are forgotten
+	maxQueuedRequests = 64
+	checkPeriod       = 5 * time.Second // an expiry in between is reported this late
+	removalPeriod     = time.Hour
+	minWait           = time.Millisecond // between two questions to the scheduler
+	jobDescriptors    = 2                // of a job that fetches
 )
 
-// NewAgent takes a client that is the agent's from here on, whether commands wait, and whom to tell of a build.
-func NewAgent(o *OperatorConfig, c *Client, seed uint64, busy func() bool, told func(build int, trusted bool)) *Agent {
-	a := &Agent{operator: o, client: c, plan: schedule.New(seed, schedule.DefaultLimits), busy: busy, told: told,
-		asked: make(chan int, askedMost), begun: time.Now()}
-	a.refresh = &schedule.Job{Name: "refresh", Priority: 2, Period: o.RefreshEvery(), Descriptors: 2}
-	a.check = &schedule.Job{Name: "builds", Priority: 1, Period: min(o.RefreshEvery(), checkEvery), Descriptors: 2}
-	a.clean = &schedule.Job{Name: "clean-up", Period: cleanEvery}
-	return a
+// Agent refreshes metadata in the background of a gateway and reports which builds are verified. When jobs run is the
+// decision of package schedule, what is trusted that of package verifiedmetadata.
+type Agent struct {
+	config       *OperatorConfig
+	client       *Client
+	scheduler    *schedule.Scheduler
+	requestsWait func() bool
+	onChecked    func(build int, verified bool)
+	requested    chan int
+	started      time.Time
+
+	builds     []int // that are checked periodically, the newest last
+	refreshJob *schedule.Job
+	checkJob   *schedule.Job
+	removalJob *schedule.Job
 }
 
-// Build asks whether a build may be taken. It does not wait; where too many are asked for, the agent's next round
-// answers.
+// NewAgent returns an agent that owns the client from here on. RequestsWait reports whether clients' requests wait, in
+// which case background jobs do; onChecked is called with the result of each check of a build.
+func NewAgent(config *OperatorConfig, client *Client, seed uint64, requestsWait func() bool,
+	onChecked func(build int, verified bool)) *Agent {
+	period := config.RefreshEvery()
+	return &Agent{
+		config:       config,
+		client:       client,
+		scheduler:    schedule.New(seed, schedule.DefaultLimits),
+		requestsWait: requestsWait,
+		onChecked:    onChecked,
+		requested:    make(chan int, maxQueuedRequests),
+		started:      time.Now(),
+		refreshJob:   &schedule.Job{Name: "refresh", Priority: 2, Period: period, Descriptors: jobDescriptors},
+		checkJob:     &schedule.Job{Name: "builds", Priority: 1, Period: min(period, checkPeriod), Descriptors: jobDescriptors},
+		removalJob:   &schedule.Job{Name: "clean-up", Period: removalPeriod},
+	}
+}
+
+// CheckBuild requests a check of a build, and then periodic ones. It does not block: where too many requests are queued
+// this one is dropped. It is safe for concurrent use.
 func (a *Agent) CheckBuild(build int) {
 	select {
-	case a.asked <- build:
+	case a.requested <- build:
 	default:
 	}
 }
 
-// Reload reads the operator's file again and takes from it which mirrors drain; all else stands until the next start.
+// Reload reads the operator's file again and takes from it which mirrors drain; every other field applies from the next
+// start on.
 func (a *Agent) Reload(file string) error {
-	o, err := LoadOperatorConfig(file)
+	config, err := LoadOperatorConfig(file)
 	if err == nil {
-		a.client.SetDraining(o.Draining)
+		a.client.SetDraining(config.Draining)
 	}
 	return err
 }
 
-func (a *Agent) now() int64 { return int64(time.Since(a.begun)) }
+func (a *Agent) elapsed() monotonic.Time { return time.Since(a.started) }
 
-// Run works until the context ends. The first refresh comes at once: nothing is trusted before.
+// Run runs jobs until the context ends. The first refresh is due at once, as nothing is trusted before.
 func (a *Agent) Run(ctx context.Context) {
-	for _, j := range []*schedule.Job{a.refresh, a.check, a.clean} {
-		if err := a.plan.Add(j, a.now()); err != nil {
-			slog.Error("a background job is not taken", "job", j.Name, "cause", err)
+	for _, job := range []*schedule.Job{a.refreshJob, a.checkJob, a.removalJob} {
+		if err := a.scheduler.Add(job, a.elapsed()); err != nil {
+			slog.Error("background job refused", "job", job.Name, "error", err)
 			return
 		}
 	}
-	a.plan.RunSoon(a.refresh, a.now())
+	a.scheduler.RunSoon(a.refreshJob, a.elapsed())
 	for {
-		job, at := a.plan.Next(a.now(), a.busy())
+		job, askAgain := a.scheduler.Next(a.elapsed(), a.requestsWait())
 		if job != nil {
-			begun := time.Now()
-			a.bytes = 0
-			a.work(ctx, job)
-			a.plan.Finish(job, time.Since(begun), a.bytes, a.now())
+			start := time.Now()
+			bytes := a.runJob(ctx, job)
+			a.scheduler.Finish(job, time.Since(start), bytes, a.elapsed())
 			continue
 		}
-		again := time.NewTimer(time.Duration(max(at-a.now(), int64(time.Millisecond))))
+		timer := time.NewTimer(max(askAgain-a.elapsed(), minWait))
 		select {
-		case build := <-a.asked:
-			a.know(build)
-			a.plan.RunSoon(a.check, a.now())
-		case <-again.C:
+		case build := <-a.requested:
+			a.addBuild(build)
+			a.scheduler.RunSoon(a.checkJob, a.elapsed())
+		case <-timer.C:
 		case <-ctx.Done():
-			again.Stop()
+			timer.Stop()
 			return
 		}
-		again.Stop()
+		timer.Stop()
 	}
 }
 
-func (a *Agent) work(ctx context.Context, job *schedule.Job) {
-	if job == a.refresh {
-		spent, refused := a.client.Refresh(ctx, a.operator.RefreshWithin())
-		if a.bytes = spent.Bytes; refused != nil {
-			slog.Warn("the metadata are not refreshed", "cause", refused)
+// runJob runs a job and returns how many bytes it fetched.
+func (a *Agent) runJob(ctx context.Context, job *schedule.Job) (bytes int64) {
+	switch job {
+	case a.refreshJob:
+		return a.refresh(ctx)
+	case a.removalJob:
+		if removed := a.client.RemoveUnlisted(); removed > 0 {
+			slog.Info("unlisted targets removed", "targets", removed)
 		}
-		a.plan.RunSoon(a.check, a.now())
-		return
+		return 0
 	}
-	if job == a.clean {
-		if n := a.client.RemoveUnlisted(); n > 0 {
-			slog.Info("targets that nobody lists any more are gone", "targets", n)
-		}
-		return
+	return a.checkBuilds(ctx)
+}
+
+func (a *Agent) refresh(ctx context.Context) (bytes int64) {
+	usage, err := a.client.Refresh(ctx, a.config.RefreshWithin())
+	if err != nil {
+		slog.Warn("metadata refresh failed", "error", err)
 	}
+	a.scheduler.RunSoon(a.checkJob, a.elapsed())
+	return usage.Bytes
+}
+
+// checkBuilds reports for each requested build whether its target is trusted. Where no mirror delivers what is needed to
+// tell, the last report stands.
+func (a *Agent) checkBuilds(ctx context.Context) (bytes int64) {
 	for _, build := range a.builds {
-		var spent Usage
-		_, refused := a.client.FindTarget(ctx, a.operator.target(build), a.operator.RefreshWithin(), &spent)
-		if a.bytes += spent.Bytes; refused != nil {
-			slog.Warn("a build is not trusted", "build", build, "cause", refused)
-			if verifiedmetadata.ReasonOf(refused) == verifiedmetadata.ReasonUnavailable {
-				continue // what was told stands until its time is over
+		var usage Usage
+		_, err := a.client.FindTarget(ctx, a.config.buildTarget(build), a.config.RefreshWithin(), &usage)
+		bytes += usage.Bytes
+		if err != nil {
+			slog.Warn("build not verified", "build", build, "error", err)
+			if verifiedmetadata.ReasonOf(err) == verifiedmetadata.ReasonUnavailable {
+				continue
 			}
 		}
-		a.told(build, refused == nil)
+		a.onChecked(build, err == nil)
 	}
+	return bytes
 }
 
-// know keeps a build among those that are asked for.
-func (a *Agent) know(build int) {
-	for _, had := range a.builds {
-		if had == build {
-			return
-		}
+// addBuild adds a build to those that are checked periodically.
+func (a *Agent) addBuild(build int) {
+	if slices.Contains(a.builds, build) {
+		return
 	}
-	if a.builds = append(a.builds, build); len(a.builds) > buildsMost {
+	if a.builds = append(a.builds, build); len(a.builds) > maxBuilds {
 		a.builds = a.builds[1:]
 	}
 }
--- /dev/null
+++ b/internal/tuf/refusal_test.go
@@ -0,0 +1,191 @@
+package tuf
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+
+	"laurelring/internal/tuftest"
+	"laurelring/internal/verifiedmetadata"
+)
+
+// Each way in which metadata can be wrong is refused for its exact reason, and what was trusted stays so.
+func TestWrongMetadataAreRefusedForTheirReason(t *testing.T) {
+	hour := time.Hour
+	for _, c := range []struct {
+		name   string
+		want   verifiedmetadata.Reason
+		change func(f *fixture)
+	}{
+		{"timestamp expired", verifiedmetadata.ReasonExpired, func(f *fixture) { f.repo.Validity = -hour; f.repo.PublishTimestamp() }},
+		{"snapshot expired", verifiedmetadata.ReasonExpired, func(f *fixture) {
+			f.repo.Snapshot.Signed.Version++
+			f.repo.Snapshot.Signed.Expires = time.Unix(0, f.now()).Add(-hour).UTC()
+			f.repo.PutSnapshot(tuftest.Sign(f.repo.Snapshot, f.repo.Keys[metadata.SNAPSHOT]...))
+		}},
+		{"targets expired", verifiedmetadata.ReasonExpired, func(f *fixture) {
+			f.repo.Validity = -hour
+			f.repo.Publish()
+			f.repo.Validity = hour
+			f.repo.Snapshot.Signed.Version++
+			f.repo.Snapshot.Signed.Expires = f.repo.Expiry()
+			f.repo.PutSnapshot(tuftest.Sign(f.repo.Snapshot, f.repo.Keys[metadata.SNAPSHOT]...))
+		}},
+		{"root expired", verifiedmetadata.ReasonExpired, func(f *fixture) {
+			f.repo.Validity = -hour
+			f.repo.PublishRoot(func() {})
+			f.repo.Validity = hour
+			f.repo.Publish()
+		}},
+		{"the clock far ahead", verifiedmetadata.ReasonExpired, func(f *fixture) { f.clockOffset.Store(int64(10 * hour)) }},
+		{"the clock back", verifiedmetadata.ReasonClockWentBack, func(f *fixture) { f.clockOffset.Store(-int64(10 * hour)) }},
+		{"timestamp rolled back", verifiedmetadata.ReasonRolledBack, func(f *fixture) {
+			old := f.repo.Files["timestamp.json"]
+			f.repo.Publish()
+			f.syncMirrors()
+			f.refresh(f.initial)
+			f.repo.Files["timestamp.json"] = old
+		}},
+		{"snapshot rolled back", verifiedmetadata.ReasonRolledBack, func(f *fixture) {
+			f.repo.Snapshot.Signed.Version = 0
+			f.repo.PutSnapshot(tuftest.Sign(f.repo.Snapshot, f.repo.Keys[metadata.SNAPSHOT]...))
+		}},
+		{"targets rolled back", verifiedmetadata.ReasonRolledBack, func(f *fixture) {
+			f.repo.Snapshot.Signed.Version++
+			f.repo.Snapshot.Signed.Meta["targets.json"].Version = 1
+			f.repo.PutSnapshot(tuftest.Sign(f.repo.Snapshot, f.repo.Keys[metadata.SNAPSHOT]...))
+		}},
+		{"old targets behind a new snapshot", verifiedmetadata.ReasonWrongHash, func(f *fixture) {
+			old := f.repo.Files["2.targets.json"]
+			f.repo.AddTarget(metadata.TARGETS, "more", targetBody, 0)
+			f.repo.Publish()
+			f.repo.Files["3.targets.json"] = old
+		}},
+		{"old targets where no hash is listed", verifiedmetadata.ReasonMixAndMatch, func(f *fixture) {
+			old := f.repo.Files["2.targets.json"]
+			f.repo.Publish()
+			f.repo.Snapshot.Signed.Version++
+			f.repo.Snapshot.Signed.Meta["targets.json"] = metadata.MetaFile(3)
+			f.repo.PutSnapshot(tuftest.Sign(f.repo.Snapshot, f.repo.Keys[metadata.SNAPSHOT]...))
+			f.repo.Files["3.targets.json"] = old
+		}},
+		{"an old snapshot where no hash is listed", verifiedmetadata.ReasonMixAndMatch, func(f *fixture) {
+			f.repo.Publish()
+			f.syncMirrors()
+			f.repo.Timestamp.Signed.Meta["snapshot.json"] = metadata.MetaFile(f.repo.Snapshot.Signed.Version + 1)
+			f.repo.PublishTimestamp()
+			f.repo.Files[fmt.Sprintf("%d.snapshot.json", f.repo.Snapshot.Signed.Version+1)] =
+				f.repo.Files[fmt.Sprintf("%d.snapshot.json", f.repo.Snapshot.Signed.Version)]
+		}},
+		{"too few signatures", verifiedmetadata.ReasonTooFewSignatures, func(f *fixture) {
+			f.repo.PublishRoot(func() {})
+			f.repo.SignRoot(f.repo.Keys[metadata.ROOT][:1])
+		}},
+		{"no signature", verifiedmetadata.ReasonTooFewSignatures, func(f *fixture) {
+			f.repo.Files["timestamp.json"] = tuftest.Sign(f.repo.Timestamp)
+		}},
+		{"repeated signatures", verifiedmetadata.ReasonRepeatedSignature, func(f *fixture) {
+			f.repo.PublishRoot(func() {})
+			one := f.repo.Keys[metadata.ROOT][0]
+			f.repo.Files["2.root.json"] = signTwice(f.repo.Root, one)
+		}},
+		{"unknown keys", verifiedmetadata.ReasonTooFewSignatures, func(f *fixture) {
+			f.repo.Timestamp.Signed.Version++
+			f.repo.Files["timestamp.json"] = tuftest.Sign(f.repo.Timestamp, tuftest.NewKey())
+		}},
+		{"a root signed by the old keys alone", verifiedmetadata.ReasonTooFewSignatures, func(f *fixture) {
+			f.repo.PublishRoot(func() {
+				by := f.repo.Keys[metadata.ROOT]
+				f.repo.ReplaceKeys(metadata.ROOT)
+				f.repo.AddKey(metadata.ROOT)
+				f.repo.Root.Signed.Roles[metadata.ROOT].Threshold = 2
+				f.repo.Keys[metadata.ROOT] = by
+			})
+		}},
+		{"a root signed by the new keys alone", verifiedmetadata.ReasonTooFewSignatures, func(f *fixture) {
+			f.repo.PublishRoot(func() { f.repo.ReplaceKeys(metadata.ROOT); f.repo.AddKey(metadata.ROOT) })
+			f.repo.SignRoot(f.repo.Keys[metadata.ROOT])
+		}},
+		{"a root of the version after next", verifiedmetadata.ReasonMissingVersion, func(f *fixture) {
+			f.repo.PublishRoot(func() {})
+			f.repo.PublishRoot(func() {})
+			f.repo.Files["2.root.json"] = f.repo.Files["3.root.json"]
+		}},
+		{"an older root as the next one", verifiedmetadata.ReasonMissingVersion, func(f *fixture) {
+			f.repo.Files["2.root.json"] = f.repo.Files["1.root.json"]
+		}},
+		{"more roots than are followed", verifiedmetadata.ReasonTooManyRoots, func(f *fixture) {
+			for range 5 {
+				f.repo.PublishRoot(func() {})
+			}
+		}},
+		{"metadata of another role", verifiedmetadata.ReasonWrongRole, func(f *fixture) {
+			f.repo.Files["timestamp.json"] = f.repo.Files["1.root.json"]
+		}},
+		{"no metadata", verifiedmetadata.ReasonMalformed, func(f *fixture) { f.repo.Files["timestamp.json"] = []byte(`{"signed":7`) }},
+		{"a snapshot of another length", verifiedmetadata.ReasonWrongHash, func(f *fixture) {
+			f.repo.Publish()
+			name := fmt.Sprintf("%d.snapshot.json", f.repo.Snapshot.Signed.Version)
+			f.repo.Files[name] = f.repo.Files[name][:len(f.repo.Files[name])-1]
+		}},
+		{"a snapshot that is longer than named", verifiedmetadata.ReasonTooLarge, func(f *fixture) {
+			f.repo.Publish()
+			name := fmt.Sprintf("%d.snapshot.json", f.repo.Snapshot.Signed.Version)
+			f.repo.Files[name] = append(bytes.Clone(f.repo.Files[name]), ' ')
+		}},
+		{"a timestamp beyond its bound", verifiedmetadata.ReasonTooLarge, func(f *fixture) {
+			f.repo.Files["timestamp.json"] = append(f.repo.Files["timestamp.json"], bytes.Repeat([]byte(" "), 20<<10)...)
+		}},
+		{"a timestamp without end", verifiedmetadata.ReasonTooLarge, func(f *fixture) { f.setFault(tuftest.OnlyFor("timestamp.json", tuftest.Endless)) }},
+		{"altered", verifiedmetadata.ReasonWrongHash, func(f *fixture) {
+			f.repo.Publish()
+			f.setFault(tuftest.OnlyFor("snapshot.json", tuftest.Corrupt))
+		}},
+		{"another file's answer", verifiedmetadata.ReasonWrongRole, func(f *fixture) {
+			f.setFault(tuftest.OnlyFor("timestamp.json", tuftest.RespondWith(f.repo.InitialRoot())))
+		}},
+		{"a mirror that stalls", verifiedmetadata.ReasonUnavailable, func(f *fixture) { f.setFault(tuftest.OnlyFor("timestamp.json", tuftest.StallAfter(9))) }},
+		{"a mirror that drips", verifiedmetadata.ReasonUnavailable, func(f *fixture) {
+			f.setFault(tuftest.OnlyFor("timestamp.json", tuftest.Drip(5*time.Millisecond)))
+		}},
+		{"a mirror that closes early", verifiedmetadata.ReasonUnavailable, func(f *fixture) { f.setFault(tuftest.OnlyFor("timestamp.json", tuftest.CloseAfter(9))) }},
+		{"a mirror that redirects", verifiedmetadata.ReasonUnavailable, func(f *fixture) {
+			f.setFault(tuftest.RedirectTo(f.mirrors[0].URL))
+		}},
+		{"all mirrors fail", verifiedmetadata.ReasonUnavailable, func(f *fixture) { f.setFault(tuftest.FailRequest) }},
+		{"a timestamp that is missing", verifiedmetadata.ReasonUnavailable, func(f *fixture) { delete(f.repo.Files, "timestamp.json") }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			f := newFixture(t, true)
+			f.limits.RootRotations = 4
+			f.initial = f.newClient(2)
+			if got := f.refresh(f.initial); got != verifiedmetadata.ReasonNone {
+				t.Fatal(got)
+			}
+			before := fmt.Sprint(f.initial.verifier.TrustedRoles()[1:])
+			c.change(f)
+			f.syncMirrors()
+			_, err := f.initial.Refresh(context.Background(), 4*time.Second)
+			if verifiedmetadata.ReasonOf(err) != c.want {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+			if after := fmt.Sprint(f.initial.verifier.TrustedRoles()[1:]); after != before && c.name != "timestamp rolled back" {
+				t.Errorf("trusted %s, before %s", after, before)
+			}
+		})
+	}
+}
+
+// signTwice signs a root with one key and repeats the signature.
+func signTwice(root *metadata.Metadata[metadata.RootType], key *tuftest.Key) []byte {
+	contents := tuftest.Sign(root, key)
+	start := bytes.Index(contents, []byte(`"signatures":[`)) + len(`"signatures":[`)
+	end := start + bytes.IndexByte(contents[start:], '}') + 1
+	return slices.Concat(contents[:end], []byte(","), contents[start:end], contents[end:])
+}
--- /dev/null
+++ b/internal/tuf/status.go
@@ -0,0 +1,79 @@
+package tuf
+
+import (
+	"laurelring/internal/mirrorpool"
+	"laurelring/internal/verifiedmetadata"
+)
+
+// StatusTrusted is Status.Trust while the trusted metadata may be relied on.
+const StatusTrusted = "trusted"
+
+const storeHealthy = "kept"
+
+// Status is what operators are shown. Its JSON form is part of what gatewayctl prints.
+type Status struct {
+	Trust           string                         `json:"standing"`    // StatusTrusted, or why not
+	LastRefresh     int64                          `json:"fresh_at_ns"` // ns since the Unix epoch, 0 if there was none
+	Roles           []verifiedmetadata.TrustedRole `json:"roles"`
+	Mirrors         []mirrorpool.MirrorState       `json:"mirrors"`
+	Targets         []string                       `json:"targets"` // paths of fetched targets
+	Store           string                         `json:"store"`   // "kept", or what is wrong or not durable
+	RejectedRecords []string                       `json:"left_out,omitempty"`
+}
+
+// Status returns the state of the metadata, the mirrors and the store, and reports it to the observer.
+func (c *Client) Status() Status {
+	status := Status{
+		Trust:       StatusTrusted,
+		LastRefresh: c.verifier.LastRefresh(),
+		Roles:       c.verifier.TrustedRoles(),
+		Mirrors:     c.mirrors.States(c.elapsed()),
+		Targets:     c.store.TargetPaths(),
+		Store:       c.storeStatus(),
+	}
+	if err := c.verifier.CheckValid(c.now()); err != nil {
+		status.Trust = err.Error()
+	}
+	if status.Targets == nil {
+		status.Targets = []string{} // an empty list in JSON, not null
+	}
+	for _, err := range c.rejected {
+		status.RejectedRecords = append(status.RejectedRecords, err.Error())
+	}
+	c.observer.StatusReported(status, c.now())
+	return status
+}
+
+func (c *Client) storeStatus() string {
+	switch {
+	case c.store.InMemory():
+		return "memory: versions may go back over a restart"
+	case c.storeErr != nil:
+		return "not kept: " + c.storeErr.Error()
+	case c.store.Damage() != nil:
+		return "begun anew: " + c.store.Damage().Error()
+	}
+	return storeHealthy
+}
+
+// Observer is notified of what a client does. An error is a *verifiedmetadata.VerificationError, or nil for a success.
+type Observer interface {
+	// RefreshFinished reports a refresh of the metadata.
+	RefreshFinished(err error, usage Usage)
+	// FetchFinished reports a fetch of a target.
+	FetchFinished(err error, usage Usage)
+	// AttemptFinished reports one attempt at a mirror.
+	AttemptFinished(mirror string, outcome mirrorpool.AttemptOutcome)
+	// StoreFailed reports that a change could not be stored.
+	StoreFailed()
+	// StatusReported reports a status; now is in ns since the Unix epoch.
+	StatusReported(status Status, now int64)
+}
+
+type noObserver struct{}
+
+func (noObserver) RefreshFinished(error, Usage)                      {}
+func (noObserver) FetchFinished(error, Usage)                        {}
+func (noObserver) AttemptFinished(string, mirrorpool.AttemptOutcome) {}
+func (noObserver) StoreFailed()                                      {}
+func (noObserver) StatusReported(Status, int64)                      {}
--- /dev/null
+++ b/internal/tuf/target_test.go
@@ -0,0 +1,161 @@
+package tuf
+
+import (
+	"bytes"
+	"context"
+	"crypto/rand"
+	"fmt"
+	"io"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+
+	"laurelring/internal/tuftest"
+	"laurelring/internal/verifiedmetadata"
+)
+
+func TestTargetsThatAreNotListedNeverReachTheStore(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		want   verifiedmetadata.Reason
+		path   string
+		change func(f *fixture)
+	}{
+		{"altered", verifiedmetadata.ReasonWrongHash, targetPath, func(f *fixture) { f.setFault(tuftest.Corrupt) }},
+		{"cut off", verifiedmetadata.ReasonWrongLength, targetPath, func(f *fixture) { f.setFault(tuftest.RespondWith(targetBody[:8192])) }},
+		{"longer", verifiedmetadata.ReasonTooLarge, "plain", func(f *fixture) { f.setFault(tuftest.RespondWith(append(bytes.Clone(targetBody), 'x'))) }},
+		{"another of the same length", verifiedmetadata.ReasonWrongHash, "plain", func(f *fixture) {
+			f.setFault(tuftest.RespondWith(bytes.Repeat([]byte("x"), len(targetBody))))
+		}},
+		{"not listed", verifiedmetadata.ReasonNotListed, "builds/8.json", func(*fixture) {}},
+		{"out of its folder", verifiedmetadata.ReasonUnsafePath, "../../etc/passwd", func(*fixture) {}},
+		{"of another root", verifiedmetadata.ReasonUnsafePath, "/etc/passwd", func(*fixture) {}},
+		{"by a backslash", verifiedmetadata.ReasonUnsafePath, `a\..\b`, func(*fixture) {}},
+		{"an unknown hash", verifiedmetadata.ReasonUnknownAlgorithm, "odd", func(*fixture) {}},
+		{"expired meanwhile", verifiedmetadata.ReasonExpired, targetPath, func(f *fixture) { f.clockOffset.Store(int64(2 * time.Hour)) }},
+		{"nothing fresh for long", verifiedmetadata.ReasonStale, targetPath, func(f *fixture) { f.clockOffset.Store(int64(30 * time.Minute)) }},
+		{"the clock back", verifiedmetadata.ReasonClockWentBack, targetPath, func(f *fixture) { f.clockOffset.Store(-int64(30 * time.Minute)) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			f := newFixture(t, true)
+			f.limits.MaxStaleness = 10 * time.Minute
+			f.folder = t.TempDir()
+			f.repo.AddTarget(metadata.TARGETS, "plain", targetBody, 0)
+			f.repo.AddTarget(metadata.TARGETS, "odd", targetBody, 0)
+			f.repo.Targets[metadata.TARGETS].Signed.Targets["odd"].Hashes = metadata.Hashes{"md9": {1, 2}}
+			f.repo.Publish()
+			f.syncMirrors()
+			cl := f.newClient(3)
+			if got := f.refresh(cl); got != verifiedmetadata.ReasonNone {
+				t.Fatal(got)
+			}
+			c.change(f)
+			_, _, err := cl.FetchTarget(context.Background(), c.path, 3*time.Second)
+			if verifiedmetadata.ReasonOf(err) != c.want {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+			if _, err := cl.store.OpenTarget(c.path); err == nil {
+				t.Error("it reached the store")
+			}
+		})
+	}
+}
+
+// Delegations are followed in their order, terminating ones end the search, loops and depth are bounded, and a role that
+// a mirror altered is refused.
+func TestDelegationsAreFollowed(t *testing.T) {
+	f := newFixture(t, true)
+	f.limits.DelegationDepth = 4
+	f.repo.Delegate(metadata.TARGETS, "east", false, "east/*")
+	f.repo.Delegate("east", "rolls", false, "east/*")
+	f.repo.Delegate("rolls", "east", false, "east/*") // a loop
+	f.repo.AddTarget("rolls", "east/1", targetBody, 0)
+	f.repo.Delegate(metadata.TARGETS, "west", true, "west/*")
+	f.repo.Delegate(metadata.TARGETS, "late", false, "west/*")
+	f.repo.AddTarget("late", "west/1", targetBody, 0) // behind a terminating role
+	for i, from := 0, metadata.TARGETS; i < 6; i++ {
+		to := fmt.Sprint("deep", i)
+		f.repo.Delegate(from, to, false, "deep/*")
+		from = to
+	}
+	f.repo.AddTarget("deep5", "deep/1", targetBody, 0)
+	f.repo.Publish()
+	f.syncMirrors()
+	c := f.newClient(1)
+	if got := f.refresh(c); got != verifiedmetadata.ReasonNone {
+		t.Fatal(got)
+	}
+	for path, want := range map[string]verifiedmetadata.Reason{"east/1": verifiedmetadata.ReasonNone, "east/2": verifiedmetadata.ReasonNotListed, "west/1": verifiedmetadata.ReasonNotListed,
+		"deep/1": verifiedmetadata.ReasonTooDeep, targetPath: verifiedmetadata.ReasonNone} {
+		var usage Usage
+		_, err := c.FindTarget(context.Background(), path, 2*time.Second, &usage)
+		if verifiedmetadata.ReasonOf(err) != want {
+			t.Errorf("%s: %v, want %v", path, err, want)
+		}
+	}
+	f.setFault(tuftest.OnlyFor("west.json", tuftest.Corrupt))
+	other := f.newClient(4)
+	f.refresh(other)
+	if _, _, err := other.FetchTarget(context.Background(), "west/1", 2*time.Second); verifiedmetadata.ReasonOf(err) != verifiedmetadata.ReasonWrongHash {
+		t.Errorf("an altered role: %v", err)
+	}
+}
+
+func TestTargetAlteredOnDiskIsDetected(t *testing.T) {
+	f := newFixture(t, true)
+	f.folder = t.TempDir()
+	c := f.newClient(1)
+	f.refresh(c)
+	if _, _, err := c.FetchTarget(context.Background(), targetPath, time.Second); err != nil {
+		t.Fatal(err)
+	}
+	at := f.folder + "/targets/" + targetPath
+	text, _ := os.ReadFile(at)
+	noise := make([]byte, 4)
+	io.ReadFull(rand.Reader, noise)
+	noise[0] = text[100] ^ 1
+	os.WriteFile(at, append(append(bytes.Clone(text[:100]), noise...), text[104:]...), 0o600)
+	if got := c.VerifyTarget(targetPath); verifiedmetadata.ReasonOf(got) != verifiedmetadata.ReasonWrongHash {
+		t.Errorf("altered: %v", got)
+	}
+	os.WriteFile(at, append(text, 'x'), 0o600)
+	if got := c.VerifyTarget(targetPath); verifiedmetadata.ReasonOf(got) != verifiedmetadata.ReasonWrongLength {
+		t.Errorf("longer: %v", got)
+	}
+}
+
+// Unlisted targets are removed and listed ones are not; while the metadata are not valid nothing is removed.
+func TestRemoveUnlistedTargets(t *testing.T) {
+	for _, folder := range []string{"", t.TempDir()} {
+		f := newFixture(t, true)
+		f.folder = folder
+		f.repo.AddTarget(metadata.TARGETS, "builds/6.json", targetBody, 0)
+		f.repo.Publish()
+		f.syncMirrors()
+		c := f.newClient(1)
+		f.refresh(c)
+		for _, path := range []string{targetPath, "builds/6.json"} {
+			if _, _, err := c.FetchTarget(context.Background(), path, time.Second); err != nil {
+				t.Fatal(err)
+			}
+		}
+		delete(f.repo.Targets[metadata.TARGETS].Signed.Targets, "builds/6.json")
+		f.repo.Publish()
+		f.syncMirrors()
+		f.refresh(c)
+		f.clockOffset.Store(int64(3 * time.Hour))
+		if n := c.RemoveUnlisted(); n != 0 {
+			t.Errorf("%d removed while the metadata are not valid", n)
+		}
+		f.clockOffset.Store(0)
+		if n := c.RemoveUnlisted(); n != 1 || c.VerifyTarget(targetPath) != nil || len(c.store.TargetPaths()) != 1 {
+			t.Errorf("%d removed, %v remain, %v", n, c.store.TargetPaths(), c.VerifyTarget(targetPath))
+		}
+		if _, err := c.store.OpenTarget("builds/6.json"); err == nil {
+			t.Error("its bytes are still there")
+		}
+	}
+}
--- a/internal/tuf/tufmetrics/metrics.go
+++ b/internal/tuf/tufmetrics/metrics.go
@@ -1,4 +1,4 @@
-// Package tufmetrics counts what a client of signed metadata does, for who looks for a cause.
+// Package tufmetrics counts what a client of signed metadata does, as Prometheus metrics.
 package tufmetrics
 
 import (
@@ -11,74 +11,83 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// Metrics are told by a client, as its watcher.
+// Metrics is a client's observer. The names and labels of the metrics are stable.
 type Metrics struct {
-	refreshes *prometheus.CounterVec
-	fetches   *prometheus.CounterVec
-	attempts  *prometheus.CounterVec
-	bytes     prometheus.Counter
-	seconds   prometheus.Histogram
-	aside     *prometheus.GaugeVec
-	lasts     *prometheus.GaugeVec
-	lost      prometheus.Counter
+	refreshes     *prometheus.CounterVec
+	fetches       *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	bytes         prometheus.Counter
+	refreshTime   prometheus.Histogram
+	mirrorBackoff *prometheus.GaugeVec
+	roleLifetime  *prometheus.GaugeVec
+	storeFailures prometheus.Counter
 }
 
-// New registers them.
-func New(at prometheus.Registerer) *Metrics {
+var _ tuf.Observer = (*Metrics)(nil)
+
+// New returns metrics that are registered at a registerer. It panics where one is registered already.
+func New(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		refreshes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "laurelring_tuf_refreshes_total",
-			Help: "Refreshes by the reason that they ended for."}, []string{"reason"}),
-		fetches: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "laurelring_tuf_fetches_total",
-			Help: "Fetches of targets by the reason that they ended for."}, []string{"reason"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "laurelring_tuf_attempts_total",
-			Help: "Attempts at mirrors by how they ended."}, []string{"mirror", "how"}),
-		bytes: prometheus.NewCounter(prometheus.CounterOpts{Name: "laurelring_tuf_bytes_total", Help: "Bytes that mirrors brought."}),
-		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "laurelring_tuf_refresh_seconds",
-			Help: "What a refresh took.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}),
-		aside: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "laurelring_tuf_mirror_aside_seconds",
-			Help: "How long a mirror is still left alone."}, []string{"mirror"}),
-		lasts: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "laurelring_tuf_role_lasts_seconds",
-			Help: "How long a role's metadata last; below 0 they have expired."}, []string{"role"}),
-		lost: prometheus.NewCounter(prometheus.CounterOpts{Name: "laurelring_tuf_unkept_total", Help: "Changes that the store did not keep."}),
+		refreshes: counterVec("laurelring_tuf_refreshes_total", "Refreshes by the reason that they ended for.", "reason"),
+		fetches:   counterVec("laurelring_tuf_fetches_total", "Fetches of targets by the reason that they ended for.", "reason"),
+		attempts:  counterVec("laurelring_tuf_attempts_total", "Attempts at mirrors by how they ended.", "mirror", "how"),
+		bytes: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "laurelring_tuf_bytes_total", Help: "Bytes that mirrors brought."}),
+		refreshTime: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "laurelring_tuf_refresh_seconds", Help: "What a refresh took.",
+			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}), // 5 ms to 41 s
+		mirrorBackoff: gaugeVec("laurelring_tuf_mirror_aside_seconds", "How long a mirror is still left alone.", "mirror"),
+		roleLifetime:  gaugeVec("laurelring_tuf_role_lasts_seconds", "How long a role's metadata last; below 0 they have expired.", "role"),
+		storeFailures: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "laurelring_tuf_unkept_total", Help: "Changes that the store did not keep."}),
 	}
-	at.MustRegister(m.refreshes, m.fetches, m.attempts, m.bytes, m.seconds, m.aside, m.lasts, m.lost)
+	registerer.MustRegister(m.refreshes, m.fetches, m.attempts, m.bytes, m.refreshTime, m.mirrorBackoff, m.roleLifetime, m.storeFailures)
 	return m
 }
 
-func reasonOf(refused error) string {
-	if refused == nil {
+func counterVec(name, help string, labels ...string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
+}
+
+func gaugeVec(name, help string, labels ...string) *prometheus.GaugeVec {
+	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
+}
+
+// reasonLabel returns the label for an error of a refresh or fetch, which is nil for a success.
+func reasonLabel(err error) string {
+	if err == nil {
 		return "trusted"
 	}
-	return verifiedmetadata.ReasonOf(refused).String()
+	return verifiedmetadata.ReasonOf(err).String()
 }
 
-// Refreshed tells how a refresh ended.
-func (m *Metrics) RefreshFinished(refused error, spent tuf.Usage) {
-	m.refreshes.WithLabelValues(reasonOf(refused)).Inc()
-	m.bytes.Add(float64(spent.Bytes))
-	m.seconds.Observe(time.Duration(spent.Duration).Seconds())
+// RefreshFinished counts a refresh.
+func (m *Metrics) RefreshFinished(err error, usage tuf.Usage) {
+	m.refreshes.WithLabelValues(reasonLabel(err)).Inc()
+	m.bytes.Add(float64(usage.Bytes))
+	m.refreshTime.Observe(usage.Duration.Seconds())
 }
 
-// Fetched tells how a fetch of a target ended.
-func (m *Metrics) FetchFinished(refused error, spent tuf.Usage) {
-	m.fetches.WithLabelValues(reasonOf(refused)).Inc()
-	m.bytes.Add(float64(spent.Bytes))
+// FetchFinished counts a fetch of a target.
+func (m *Metrics) FetchFinished(err error, usage tuf.Usage) {
+	m.fetches.WithLabelValues(reasonLabel(err)).Inc()
+	m.bytes.Add(float64(usage.Bytes))
 }
 
-// Tried tells how an attempt at a mirror ended.
-func (m *Metrics) AttemptFinished(name string, how mirrorpool.AttemptOutcome) {
-	m.attempts.WithLabelValues(name, how.String()).Inc()
+// AttemptFinished counts an attempt at a mirror.
+func (m *Metrics) AttemptFinished(mirror string, outcome mirrorpool.AttemptOutcome) {
+	m.attempts.WithLabelValues(mirror, outcome.String()).Inc()
 }
 
-// Unkept tells that the store did not keep a change.
-func (m *Metrics) StoreFailed() { m.lost.Inc() }
+// StoreFailed counts a change that could not be stored.
+func (m *Metrics) StoreFailed() { m.storeFailures.Inc() }
 
-// Standing tells how the roles and the mirrors are.
-func (m *Metrics) StatusReported(s tuf.Status, now int64) {
-	for _, r := range s.Roles {
-		m.lasts.WithLabelValues(r.Name).Set(time.Duration(r.Expires - now).Seconds())
+// StatusReported sets the gauges of roles and mirrors.
+func (m *Metrics) StatusReported(status tuf.Status, now int64) {
+	for _, role := range status.Roles {
+		m.roleLifetime.WithLabelValues(role.Name).Set(time.Duration(role.Expires - now).Seconds())
 	}
-	for _, one := range s.Mirrors {
-		m.aside.WithLabelValues(one.Name).Set(time.Duration(one.Backoff).Seconds())
+	for _, mirror := range status.Mirrors {
+		m.mirrorBackoff.WithLabelValues(mirror.Name).Set(mirror.Backoff.Seconds())
 	}
 }
