--- /dev/null
+++ b/internal/transport/peer_socket.go
@@ -0,0 +1,115 @@
+package transport
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"time"
+
+	"laurelring/internal/protocol"
+)
+
+// maxOutgoingDatagrams wait to be sent; a further one is dropped, as any datagram may be lost.
+const maxOutgoingDatagrams = 1024
+
+// PeerSocket carries datagrams between gateways.
+type PeerSocket struct {
+	conn      *net.UDPConn
+	peers     []netip.AddrPort // by the gateways' numbers
+	broadcast netip.AddrPort   // reaches all of them; not valid if there is none
+	outgoing  chan datagram
+}
+
+type datagram struct {
+	to      netip.AddrPort
+	payload []byte
+}
+
+// NewPeerSocket opens a socket at an address. The peers' addresses stand in the order of the gateways' numbers;
+// broadcast is an address that reaches all of them, or empty. All are an IP address and a port.
+func NewPeerSocket(listen string, peers []string, broadcast string) (*PeerSocket, error) {
+	p := &PeerSocket{outgoing: make(chan datagram, maxOutgoingDatagrams)}
+	for _, text := range peers {
+		address, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, err
+		}
+		p.peers = append(p.peers, address)
+	}
+	if broadcast != "" {
+		var err error
+		if p.broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
+			return nil, err
+		}
+	}
+	address, err := netip.ParseAddrPort(listen)
+	if err != nil {
+		return nil, err
+	}
+	p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
+	return p, err
+}
+
+// Send sends a datagram to the gateway of a number, or to all where the number is below 0. It does not
+// wait. A datagram that is too long, or for a number of no gateway, is dropped.
+func (p *PeerSocket) Send(number int, payload []byte) {
+	if len(payload) > protocol.DatagramMost || number >= len(p.peers) {
+		return
+	}
+	receivers := p.peers
+	if number >= 0 {
+		receivers = p.peers[number : number+1]
+	} else if p.broadcast.IsValid() {
+		receivers = []netip.AddrPort{p.broadcast}
+	}
+	for _, address := range receivers {
+		select {
+		case p.outgoing <- datagram{address, payload}:
+		default:
+		}
+	}
+}
+
+// Run sends the datagrams and calls onDatagram, on its own goroutine, for each that arrives from a gateway, until
+// Close.
+func (p *PeerSocket) Run(onDatagram func(from int, payload []byte), log *RateLimitedLog) {
+	done := make(chan struct{})
+	defer close(done)
+	go p.sendUntil(done)
+	numbers := map[netip.AddrPort]int{}
+	for i, address := range p.peers {
+		numbers[address] = i
+	}
+	buffer := make([]byte, protocol.DatagramMost+1) // one byte more, to see that a datagram is too long
+	for {
+		n, sender, err := p.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			log.Warn("peer datagram read failed", "error", err)
+			time.Sleep(shortageRetryDelay) // the machine may be short of some resource for a while
+			continue
+		}
+		number, known := numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		if !known || n > protocol.DatagramMost {
+			log.Warn("peer datagram rejected", "peer", sender)
+			continue
+		}
+		onDatagram(number, append([]byte(nil), buffer[:n]...))
+	}
+}
+
+func (p *PeerSocket) sendUntil(done <-chan struct{}) {
+	for {
+		select {
+		case one := <-p.outgoing:
+			p.conn.WriteToUDPAddrPort(one.payload, one.to) // a failed write is a lost datagram
+		case <-done:
+			return
+		}
+	}
+}
+
+// Close closes the socket and ends Run.
+func (p *PeerSocket) Close() { p.conn.Close() }
