--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -128,20 +128,20 @@
 	var agent *tuf.Agent
 	trustFile := os.Getenv("RELAY_TRUST") // an operator's own: not set in run
 	if trustFile != "" {
-		operator, err := tuf.Load(trustFile)
+		operator, err := tuf.LoadOperatorConfig(trustFile)
 		if err != nil {
 			return err
 		}
-		client, kept, err := operator.Client(seed, func() int64 { return time.Now().UnixNano() }, nil)
+		client, kept, err := operator.NewClient(seed, func() int64 { return time.Now().UnixNano() }, nil)
 		if err != nil {
 			return err
 		}
 		defer kept.Close()
 		defer client.Close()
 		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.HasQueuedRequests() }, func(build int, so bool) { r.BuildVerified(build, so) })
-		if operator.Builds != "" {
+		if operator.BuildTarget != "" {
 			gateway.RequireVerifiedBuilds()
-			build = agent.Build
+			build = agent.CheckBuild
 		}
 	}
 	var discovery *transport.DiscoveryClient
@@ -149,7 +149,7 @@
 	var exchange *gossip.Exchange
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
 		exchange = gossip.NewExchange(gossip.Config{Rank: rank, Gateways: many, Revision: startList.Revision,
-			Random: seededrand.New(seed).Below}, clock())
+			Random: seededrand.New(seed).Int64N}, clock())
 	}
 	drivers := routing.Drivers{
 		StartAttempt: func(attempt routing.AttemptRequest) routing.AttemptHandle {
