--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -56,7 +56,7 @@
 // run is one gateway from its configuration until it has ended as it was asked to. It reads the configuration
 // anew each time it is asked again.
 func run(text []byte, reread func() ([]byte, error), ended, again <-chan os.Signal) error {
-	l, err := protocol.ReadLaunch(text)
+	l, err := protocol.ParseGatewayConfiguration(text)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	if l.Err() != nil {
 		return l.Err()
 	}
-	f, err := protocol.ReadSettings(l.Settings())
+	f, err := protocol.ParseSettings(l.SettingsText())
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	for i, one := range asked {
 		named[one] = gateway.OpTypes()[i]
 	}
-	startList, err := protocol.ReadList(known, zones, models)
+	startList, err := protocol.ParseEndpointList(known, zones, models)
 	if err != nil {
 		return fmt.Errorf(`field "known": %w`, err)
 	}
@@ -170,7 +170,7 @@
 	}
 	r.News(status)
 	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
-		list, err := protocol.ReadList(text, zones, models)
+		list, err := protocol.ParseEndpointList(text, zones, models)
 		if err != nil {
 			return 0, err
 		}
@@ -265,7 +265,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	l, err := protocol.ReadLaunch(text)
+	l, err := protocol.ParseGatewayConfiguration(text)
 	if err != nil {
 		return "", "", err
 	}
--- a/internal/protocol/buffer.go
+++ b/internal/protocol/buffer.go
@@ -4,40 +4,40 @@
 
 // Buffer is a connection's one buffer: it grows as it needs, up to a bound, and is compacted in place.
 type Buffer struct {
-	data     []byte
-	from, to int
-	most     int
+	data       []byte
+	start, end int
+	maxSize    int
 }
 
-const leastRoom = 1 << 10 // what a buffer starts with, and what is left of one that stands empty
+const minBufferSize = 1 << 10 // what a buffer starts with, and what is left of one that stands empty
 
 // NewBuffer makes a buffer that grows to so many bytes at most.
-func NewBuffer(most int) *Buffer { return &Buffer{most: most} }
+func NewBuffer(most int) *Buffer { return &Buffer{maxSize: most} }
 
 // Room is where the next bytes are to be read into; it is empty once the buffer is full.
-func (b *Buffer) Room() []byte {
+func (b *Buffer) Space() []byte {
 	switch {
-	case b.from == b.to:
-		b.from, b.to = 0, 0
-		if len(b.data) != leastRoom {
-			b.data = make([]byte, min(leastRoom, b.most))
+	case b.start == b.end:
+		b.start, b.end = 0, 0
+		if len(b.data) != minBufferSize {
+			b.data = make([]byte, min(minBufferSize, b.maxSize))
 		}
-	case b.to < len(b.data):
-	case b.from > 0:
-		b.to, b.from = copy(b.data, b.data[b.from:b.to]), 0
-	case len(b.data) < b.most:
-		grown := make([]byte, min(2*len(b.data), b.most))
+	case b.end < len(b.data):
+	case b.start > 0:
+		b.end, b.start = copy(b.data, b.data[b.start:b.end]), 0
+	case len(b.data) < b.maxSize:
+		grown := make([]byte, min(2*len(b.data), b.maxSize))
 		copy(grown, b.data)
 		b.data = grown
 	}
-	return b.data[b.to:]
+	return b.data[b.end:]
 }
 
 // Add tells how many bytes were read into the room.
-func (b *Buffer) Add(n int) { b.to += n }
+func (b *Buffer) Commit(n int) { b.end += n }
 
 // Bytes are what was read and not yet dropped; they stand until the next Room.
-func (b *Buffer) Bytes() []byte { return b.data[b.from:b.to] }
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
 // Drop lets go of the first bytes.
-func (b *Buffer) Drop(n int) { b.from += n }
+func (b *Buffer) Discard(n int) { b.start += n }
--- a/internal/protocol/launch.go
+++ b/internal/protocol/configuration.go
@@ -9,31 +9,31 @@
 )
 
 // Launch reads the configuration that a gateway starts from.
-type Launch struct{ *Facts }
+type GatewayConfiguration struct{ *Settings }
 
 // ReadLaunch opens a configuration.
-func ReadLaunch(text []byte) (*Launch, error) {
+func ParseGatewayConfiguration(text []byte) (*GatewayConfiguration, error) {
 	f, err := read("field", text)
 	if err != nil {
 		return nil, fmt.Errorf("the configuration is no JSON object")
 	}
-	return &Launch{f}, nil
+	return &GatewayConfiguration{f}, nil
 }
 
 // Name is the gateway's name.
-func (l *Launch) Name() string { return l.word("name") }
+func (l *GatewayConfiguration) Name() string { return l.word("name") }
 
 // Listen is where clients connect.
-func (l *Launch) Listen() string { return l.address("listen") }
+func (l *GatewayConfiguration) Listen() string { return l.address("listen") }
 
 // Discovery is where the list of instances is asked for.
-func (l *Launch) Discovery() string { return l.address("discovery") }
+func (l *GatewayConfiguration) Discovery() string { return l.address("discovery") }
 
 // Desk is the platform's address.
-func (l *Launch) Desk() string { return l.address("pipeline.address") }
+func (l *GatewayConfiguration) Desk() string { return l.address("pipeline.address") }
 
 // Seed is what the gateway's chance comes from.
-func (l *Launch) Seed() uint64 {
+func (l *GatewayConfiguration) Seed() uint64 {
 	seed, err := strconv.ParseUint(l.word("seed"), 16, 64)
 	if err != nil {
 		l.fault("seed", "is no hexadecimal number")
@@ -42,7 +42,7 @@
 }
 
 // Limits are the cores, the bytes of memory and the descriptors that the gateway may hold.
-func (l *Launch) Limits() (cores float64, memory int64, descriptors int) {
+func (l *GatewayConfiguration) Limits() (cores float64, memory int64, descriptors int) {
 	cores, memory, descriptors = l.num("limits.cores"), int64(l.num("limits.memory_mb"))<<20, l.count("limits.sockets")
 	if cores <= 0 || memory <= 0 || descriptors <= 0 {
 		l.fault("limits", "must be above 0")
@@ -52,7 +52,7 @@
 
 // Peers are where messages of other gateways arrive, the gateways' addresses by their numbers, and the
 // address of all of them, if there is one.
-func (l *Launch) Peers() (listen string, each []string, all string) {
+func (l *GatewayConfiguration) Peers() (listen string, each []string, all string) {
 	if !l.root.Get("peer_listen").Exists() {
 		return "", nil, ""
 	}
@@ -66,15 +66,15 @@
 }
 
 // News is where the newest build stood when the gateway was started.
-func (l *Launch) News() gjson.Result { return l.list("pipeline.news") }
+func (l *GatewayConfiguration) News() gjson.Result { return l.list("pipeline.news") }
 
 // Known is the list of instances as it was last held.
-func (l *Launch) Known() []byte { return []byte(l.list("known").Raw) }
+func (l *GatewayConfiguration) Known() []byte { return []byte(l.list("known").Raw) }
 
-// Settings is the object that an instance is handed at its start.
-func (l *Launch) Settings() []byte { return []byte(l.list("settings").Raw) }
+// SettingsText is the object that an instance is handed at its start.
+func (l *GatewayConfiguration) SettingsText() []byte { return []byte(l.list("settings").Raw) }
 
-func (l *Launch) address(path string) string {
+func (l *GatewayConfiguration) address(path string) string {
 	text := l.word(path)
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		l.fault(path, "is no address and port")
--- a/internal/protocol/desk.go
+++ b/internal/protocol/controller.go
@@ -12,37 +12,37 @@
 )
 
 // LineMost is the longest line that the platform and the gateway send each other.
-const LineMost = 8 << 10
+const MaxLineSize = 8 << 10
 
-var errLine = errors.New("the line is too long")
+var errLineTooLong = errors.New("the line is too long")
 
 // Line takes the next whole line out of the buffer; it stands until the next Room. None is left if it is
 // nil.
-func Line(b *Buffer) ([]byte, error) {
+func NextLine(b *Buffer) ([]byte, error) {
 	data := b.Bytes()
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
-		if len(data) >= LineMost {
-			return nil, errLine
+		if len(data) >= MaxLineSize {
+			return nil, errLineTooLong
 		}
 		return nil, nil
 	}
-	b.Drop(end + 1)
+	b.Discard(end + 1)
 	return data[:end], nil
 }
 
 // The words of votes and phases, by their numbers in the module.
 var (
-	rulings = []string{"abstain", "promote", "pause", "abort"}
-	modes   = []string{"testing", "recalling", "live", "recalled"}
+	verdictNames = []string{"abstain", "promote", "pause", "abort"}
+	phaseNames   = []string{"testing", "recalling", "live", "recalled"}
 )
 
 // Listen is the call that asks for what the platform tells unasked.
-func Listen(id int) []byte { return call(id, "listen", nil) }
+func EncodeListen(id int) []byte { return call(id, "listen", nil) }
 
 // Ballot is the call that casts a vote.
-func Ballot(id int, v decision.Vote) []byte {
-	return call(id, "verdict", map[string]any{"release": v.Build, "tranche": v.Stage, "ruling": rulings[v.Verdict]})
+func EncodeVote(id int, v decision.Vote) []byte {
+	return call(id, "verdict", map[string]any{"release": v.Build, "tranche": v.Stage, "ruling": verdictNames[v.Verdict]})
 }
 
 func call(id int, method string, params map[string]any) []byte {
@@ -118,8 +118,8 @@
 			return decision.RolloutStatus{}, fmt.Errorf("the news lack %q", name)
 		}
 	}
-	phase := place(modes, v.Get("mode").Str)
-	if phase == len(modes) {
+	phase := indexOrCount(phaseNames, v.Get("mode").Str)
+	if phase == len(phaseNames) {
 		return decision.RolloutStatus{}, errors.New(`the news lack "mode"`)
 	}
 	return decision.RolloutStatus{
@@ -127,6 +127,6 @@
 		Stage:       int(v.Get("tranche").Num),
 		Phase:       decision.RolloutPhase(phase),
 		ExposureCap: v.Get("exposure").Num,
-		Age:         asNs(v.Get("old_ms").Num),
+		Age:         durationFromMs(v.Get("old_ms").Num),
 	}, nil
 }
--- a/internal/protocol/totals.go
+++ b/internal/protocol/evidence.go
@@ -10,19 +10,19 @@
 
 // The first byte of a message between gateways tells what it is; others are passed over.
 const (
-	totalsMark  = 1
-	findingMark = 2
-	noLoad      = 255
-	sightSize   = 7
+	evidenceReportTag = 1
+	voterReportTag    = 2
+	noUtilization     = 255
+	observationSize   = 7
 )
 
 // DatagramMost is the longest message that gateways may send one another.
-const DatagramMost = 256
+const MaxDatagramSize = 256
 
 // PackTotals lays a gateway's running totals and sights out as a message to its peers. Sights beyond the
 // longest message are left out: those with losses come first.
-func PackTotals(t *decision.EvidenceReport, id func(*decision.Endpoint) uint32) []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{totalsMark}, uint64(t.CountedAt))
+func EncodeEvidenceReport(t *decision.EvidenceReport, id func(*decision.Endpoint) uint32) []byte {
+	b := binary.LittleEndian.AppendUint64([]byte{evidenceReportTag}, uint64(t.CountedAt))
 	b = binary.LittleEndian.AppendUint16(b, uint16(t.Build))
 	b = append(b, uint8(len(t.Counters)), 0)
 	told := len(b) - 1
@@ -30,10 +30,10 @@
 		b = binary.AppendUvarint(b, uint64(n))
 	}
 	for _, one := range t.Observations {
-		if len(b)+sightSize > DatagramMost {
+		if len(b)+observationSize > MaxDatagramSize {
 			break
 		}
-		load := uint8(noLoad)
+		load := uint8(noUtilization)
 		if one.Utilization >= 0 {
 			load = uint8(math.Round(min(one.Utilization, 2) * 100))
 		}
@@ -45,8 +45,8 @@
 }
 
 // UnpackTotals reads such a message; nil for anything else. Sights of machines not listed here are left out.
-func UnpackTotals(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.EvidenceReport {
-	if len(text) < 13 || text[0] != totalsMark {
+func DecodeEvidenceReport(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.EvidenceReport {
+	if len(text) < 13 || text[0] != evidenceReportTag {
 		return nil
 	}
 	t := &decision.EvidenceReport{Sender: from, CountedAt: time.Duration(binary.LittleEndian.Uint64(text[1:])),
@@ -59,13 +59,13 @@
 		}
 		t.Counters[i], rest = uint32(n), rest[used:]
 	}
-	if len(rest) != sightSize*sights {
+	if len(rest) != observationSize*sights {
 		return nil
 	}
-	for ; len(rest) > 0; rest = rest[sightSize:] {
+	for ; len(rest) > 0; rest = rest[observationSize:] {
 		one := decision.Observation{Endpoint: named(binary.LittleEndian.Uint32(rest)), Utilization: float64(rest[4]) / 100,
 			Successes: int(rest[5]), Losses: int(rest[6])}
-		if rest[4] == noLoad {
+		if rest[4] == noUtilization {
 			one.Utilization = -1
 		}
 		if one.Endpoint != nil {
@@ -76,8 +76,8 @@
 }
 
 // PackFinding lays out what a voter tells the others.
-func PackFinding(f *decision.VoterReport, id func(*decision.Endpoint) uint32) []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{findingMark}, uint64(f.FoundAt))
+func EncodeVoterReport(f *decision.VoterReport, id func(*decision.Endpoint) uint32) []byte {
+	b := binary.LittleEndian.AppendUint64([]byte{voterReportTag}, uint64(f.FoundAt))
 	b = binary.LittleEndian.AppendUint16(b, uint16(f.Build))
 	b = append(b, uint8(f.Stage), uint8(f.Verdict))
 	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(f.BaselineCost)))
@@ -88,8 +88,8 @@
 }
 
 // UnpackFinding reads such a message; nil for anything else.
-func UnpackFinding(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.VoterReport {
-	if len(text) < 17 || len(text)%4 != 1 || text[0] != findingMark ||
+func DecodeVoterReport(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.VoterReport {
+	if len(text) < 17 || len(text)%4 != 1 || text[0] != voterReportTag ||
 		decision.Verdict(text[12]) > decision.VerdictRollBack {
 		return nil
 	}
--- a/internal/protocol/command.go
+++ b/internal/protocol/request.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	argsMost   = 8           // words of a command
-	idMost     = 256         // bytes of an id
-	skipMost   = 1 << 20     // a larger word is not skipped: the connection is closed
-	inlineMost = 512         // a command typed as a line
-	marginMost = 8 * 1 << 10 // of a command, beside its value
+	maxRequestParts  = 8           // words of a command
+	maxRequestIDSize = 256         // bytes of an id
+	maxSkippedSize   = 1 << 20     // a larger word is not skipped: the connection is closed
+	maxInlineSize    = 512         // a command typed as a line
+	requestMargin    = 8 * 1 << 10 // of a command, beside its value
 )
 
 // CommandMost is what a buffer needs to hold one command.
-const CommandMost = ValueMost + marginMost
+const MaxRequestSize = MaxValueSize + requestMargin
 
-var errFraming = errors.New("framing is lost")
+var errFramingLost = errors.New("framing is lost")
 
 // Commands finds the whole commands in what clients send, and keeps from the parser behind it what that
 // could not bear: it trusts lengths, and keeps a word of any size in memory.
-type Commands struct {
+type RequestScanner struct {
 	at    int  // bytes of the present command that are understood
 	words int  // of it still to come
 	begun bool // its head has been read
@@ -38,22 +38,22 @@
 }
 
 // Begun tells whether a command has begun of which nothing may be left in the buffer.
-func (c *Commands) Begun() bool { return c.begun }
+func (c *RequestScanner) Started() bool { return c.begun }
 
 // Next gives the size of the whole command that the buffer begins with, 0 if there is none yet. One that is
 // too large has been taken out of the buffer by then. An error says that the framing is lost.
-func (c *Commands) Next(b *Buffer) (size int, large bool, err error) {
+func (c *RequestScanner) Next(b *Buffer) (size int, large bool, err error) {
 	for {
 		if c.skip > 0 {
 			n := min(c.skip, len(b.Bytes()))
-			b.Drop(n)
+			b.Discard(n)
 			if c.skip -= n; c.skip > 0 {
 				return 0, false, nil
 			}
 		}
 		if c.begun && c.words == 0 {
 			size, large = c.at, c.large
-			*c = Commands{}
+			*c = RequestScanner{}
 			return size, large, nil
 		}
 		rest := b.Bytes()[c.at:]
@@ -63,36 +63,36 @@
 		if !c.begun && rest[0] != '*' {
 			return c.inline(b)
 		}
-		end := bytes.IndexByte(rest[:min(len(rest), headMost)], '\n')
+		end := bytes.IndexByte(rest[:min(len(rest), maxHeaderSize)], '\n')
 		if end < 0 {
-			if len(rest) >= headMost {
-				return 0, false, errFraming
+			if len(rest) >= maxHeaderSize {
+				return 0, false, errFramingLost
 			}
 			return 0, false, nil
 		}
 		if end < 3 || rest[end-1] != '\r' {
-			return 0, false, errFraming
+			return 0, false, errFramingLost
 		}
 		n, err := strconv.Atoi(string(rest[1 : end-1]))
 		if err != nil || n < 0 {
-			return 0, false, errFraming
+			return 0, false, errFramingLost
 		}
 		switch {
-		case !c.begun && (n < 1 || n > argsMost):
-			return 0, false, errFraming
+		case !c.begun && (n < 1 || n > maxRequestParts):
+			return 0, false, errFramingLost
 		case !c.begun:
 			c.begun, c.words, c.at = true, n, c.at+end+1
-		case rest[0] != '$' || n > skipMost:
-			return 0, false, errFraming
+		case rest[0] != '$' || n > maxSkippedSize:
+			return 0, false, errFramingLost
 		default:
 			whole := end + 1 + n + 2
-			if c.large || c.at+whole > CommandMost || n > ValueMost {
-				b.Drop(c.at)
+			if c.large || c.at+whole > MaxRequestSize || n > MaxValueSize {
+				b.Discard(c.at)
 				c.large, c.at, c.skip = true, 0, whole
 			} else if len(rest) < whole {
 				return 0, false, nil
 			} else if rest[whole-2] != '\r' || rest[whole-1] != '\n' {
-				return 0, false, errFraming
+				return 0, false, errFramingLost
 			} else {
 				c.at += whole
 			}
@@ -102,14 +102,14 @@
 }
 
 // inline passes on a command typed as a plain line.
-func (c *Commands) inline(b *Buffer) (int, bool, error) {
+func (c *RequestScanner) inline(b *Buffer) (int, bool, error) {
 	data := b.Bytes()
 	end := bytes.IndexByte(data, '\n')
-	if end < 0 && len(data) < inlineMost {
+	if end < 0 && len(data) < maxInlineSize {
 		return 0, false, nil
 	}
-	if end < 0 || end >= inlineMost || bytes.ContainsAny(data[:end], "\"'\\") {
-		return 0, false, errFraming
+	if end < 0 || end >= maxInlineSize || bytes.ContainsAny(data[:end], "\"'\\") {
+		return 0, false, errFramingLost
 	}
 	return end + 1, false, nil
 }
@@ -136,7 +136,7 @@
 	if len(args) != most {
 		return no("wrong number of words")
 	}
-	if request.ID = string(args[2]); request.ID == "" || len(request.ID) > idMost {
+	if request.ID = string(args[2]); request.ID == "" || len(request.ID) > maxRequestIDSize {
 		return no("no id")
 	}
 	var before, after strings.Builder // what stands around the time in the list of names and values
@@ -157,7 +157,7 @@
 			if err != nil || !(ms > 0) || strings.Trim(value, "0123456789.") != "" || into == &after {
 				return no("d is no time")
 			}
-			request.Remaining = asNs(ms)
+			request.Remaining = durationFromMs(ms)
 			into.WriteString("d=")
 			into = &after
 			continue
@@ -189,13 +189,13 @@
 }
 
 // BulkHead and End stand around a value.
-func BulkHead(size int) []byte { return []byte("$" + strconv.Itoa(size) + "\r\n") }
+func BulkStringHeader(size int) []byte { return []byte("$" + strconv.Itoa(size) + "\r\n") }
 
 // End ends a value.
-var End = []byte("\r\n")
+var BulkStringEnd = []byte("\r\n")
 
 // Refused words a refusal, with the time to come back if there is one.
-func Refused(after time.Duration) string {
+func RejectedMessage(after time.Duration) string {
 	if after <= 0 {
 		return "BUSY"
 	}
@@ -203,4 +203,4 @@
 }
 
 // Failed words a failure.
-const Failed = "ERR failed"
+const FailedMessage = "ERR failed"
--- a/internal/protocol/reply.go
+++ b/internal/protocol/response.go
@@ -10,22 +10,22 @@
 )
 
 // ValueMost is the size of the largest value.
-const ValueMost = 64 << 10
+const MaxValueSize = 64 << 10
 
 const (
-	lineMost   = 4 << 10 // the longest line that tells of an error
-	headMost   = 32      // the longest line that frames
-	reportMost = 4 << 10 // the longest load report
+	maxErrorLineSize  = 4 << 10 // the longest line that tells of an error
+	maxHeaderSize     = 32      // the longest line that frames
+	maxLoadReportSize = 4 << 10 // the longest load report
 )
 
 // ReplyMost is what a buffer needs to hold one reply.
-const ReplyMost = ValueMost + reportMost + 4*headMost
+const MaxResponseSize = MaxValueSize + maxLoadReportSize + 4*maxHeaderSize
 
-var errDamaged = errors.New("damaged reply")
+var errMalformedResponse = errors.New("damaged reply")
 
 // Reply reads the replies of an instance, one after the other: an array of the value, a null and the load
 // report or a null, or an error line. Whatever else comes is damage.
-type Reply struct {
+type ResponseReader struct {
 	at    int // bytes of the present reply that are understood
 	part  int // parts of its array that are understood, its head among them
 	value span
@@ -44,7 +44,7 @@
 
 // Next reads on in what the buffer holds. Once a response is complete it is given, copied, and dropped from the buffer. An
 // error is damage: nothing that follows can be trusted.
-func (r *Reply) Next(b *Buffer) (response Response, done bool, err error) {
+func (r *ResponseReader) Next(b *Buffer) (response Response, done bool, err error) {
 	for {
 		data := b.Bytes()
 		line, size, err := lineOf(data[r.at:])
@@ -60,11 +60,11 @@
 			r.part, r.at = 1, size
 			continue
 		case r.part == 0 || r.part == 2 && string(line) != "$-1":
-			return Response{}, false, errDamaged
+			return Response{}, false, errMalformedResponse
 		}
 		n, ok := sizeOf(line)
-		if !ok || n > ValueMost || r.part == 3 && n > reportMost {
-			return Response{}, false, errDamaged
+		if !ok || n > MaxValueSize || r.part == 3 && n > maxLoadReportSize {
+			return Response{}, false, errMalformedResponse
 		}
 		whole, word := size, span{}
 		if n >= 0 {
@@ -72,7 +72,7 @@
 				return Response{}, false, nil
 			}
 			if data[r.at+whole-2] != '\r' || data[r.at+whole-1] != '\n' {
-				return Response{}, false, errDamaged
+				return Response{}, false, errMalformedResponse
 			}
 			word = span{r.at + size, r.at + whole - 2}
 		}
@@ -88,7 +88,7 @@
 }
 
 // done gives a complete response and drops it from the buffer. A null is no value.
-func (r *Reply) done(b *Buffer) Response {
+func (r *ResponseReader) done(b *Buffer) Response {
 	data := b.Bytes()
 	response := Response{Outcome: decision.OutcomeError, LoadReport: bytes.Clone(data[r.load.from:r.load.to])}
 	if r.value.from > 0 {
@@ -99,9 +99,9 @@
 	return response
 }
 
-func (r *Reply) end(b *Buffer, more int) {
-	b.Drop(r.at + more)
-	*r = Reply{}
+func (r *ResponseReader) end(b *Buffer, more int) {
+	b.Discard(r.at + more)
+	*r = ResponseReader{}
 }
 
 // sizeOf reads the head of a word: "$5", or "$-1" for a null.
@@ -119,20 +119,20 @@
 	if len(data) == 0 {
 		return nil, 0, nil
 	}
-	most := headMost
+	most := maxHeaderSize
 	if data[0] == '-' {
-		most = lineMost
+		most = maxErrorLineSize
 	} else if data[0] != '*' && data[0] != '$' {
-		return nil, 0, errDamaged
+		return nil, 0, errMalformedResponse
 	}
 	at := bytes.IndexByte(data[:min(len(data), most)], '\n')
 	switch {
 	case at < 0 && len(data) >= most:
-		return nil, 0, errDamaged
+		return nil, 0, errMalformedResponse
 	case at < 0:
 		return nil, 0, nil
 	case at < 3 || data[at-1] != '\r':
-		return nil, 0, errDamaged
+		return nil, 0, errMalformedResponse
 	}
 	return data[:at-1], at + 1, nil
 }
@@ -147,7 +147,7 @@
 		how = decision.OutcomeRejected
 	case "ERR", "SYNTAX", "NOPERM":
 	default:
-		return 0, nil, errDamaged
+		return 0, nil, errMalformedResponse
 	}
 	if last := line[strings.LastIndexByte(line, ' ')+1:]; strings.Contains(last, "=") {
 		return how, []byte(last), nil
@@ -156,7 +156,7 @@
 }
 
 // Load finds a field's figure in a load report.
-func Load(report []byte, field string) (float64, bool) {
+func ParseUtilization(report []byte, field string) (float64, bool) {
 	if len(report) == 0 || field == "" {
 		return 0, false
 	}
--- a/internal/protocol/facts.go
+++ b/internal/protocol/settings.go
@@ -12,16 +12,16 @@
 
 // Facts reads JSON by the names of its fields and keeps the first that is missing or wrong; unknown ones are
 // not looked at.
-type Facts struct {
+type Settings struct {
 	root gjson.Result
 	what string // what is read, for the message on a fault
 	err  error
 }
 
 // ReadSettings opens the object that an instance is handed at its start.
-func ReadSettings(text []byte) (*Facts, error) { return read("setting", text) }
+func ParseSettings(text []byte) (*Settings, error) { return read("setting", text) }
 
-func read(what string, text []byte) (*Facts, error) {
+func read(what string, text []byte) (*Settings, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, fmt.Errorf("the %ss are not JSON", what)
 	}
@@ -29,19 +29,19 @@
 	if !root.IsObject() {
 		return nil, fmt.Errorf("the %ss are not a JSON object", what)
 	}
-	return &Facts{root: root, what: what}, nil
+	return &Settings{root: root, what: what}, nil
 }
 
 // Err is the first fault met so far.
-func (f *Facts) Err() error { return f.err }
+func (f *Settings) Err() error { return f.err }
 
-func (f *Facts) fault(path, why string) {
+func (f *Settings) fault(path, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s %q %s", f.what, path, why)
 	}
 }
 
-func (f *Facts) get(from gjson.Result, path string, kind gjson.Type) gjson.Result {
+func (f *Settings) get(from gjson.Result, path string, kind gjson.Type) gjson.Result {
 	v := from.Get(path)
 	if !v.Exists() {
 		f.fault(path, "is missing")
@@ -51,14 +51,14 @@
 	return v
 }
 
-func (f *Facts) num(path string) float64       { return f.get(f.root, path, gjson.Number).Num }
-func (f *Facts) count(path string) int         { return int(f.num(path)) }
-func (f *Facts) ns(path string) time.Duration  { return asNs(f.num(path)) }
-func (f *Facts) is(path string) bool           { return f.get(f.root, path, gjson.True).Bool() }
-func (f *Facts) word(path string) string       { return f.get(f.root, path, gjson.String).Str }
-func (f *Facts) list(path string) gjson.Result { return f.get(f.root, path, gjson.JSON) }
+func (f *Settings) num(path string) float64       { return f.get(f.root, path, gjson.Number).Num }
+func (f *Settings) count(path string) int         { return int(f.num(path)) }
+func (f *Settings) ns(path string) time.Duration  { return durationFromMs(f.num(path)) }
+func (f *Settings) is(path string) bool           { return f.get(f.root, path, gjson.True).Bool() }
+func (f *Settings) word(path string) string       { return f.get(f.root, path, gjson.String).Str }
+func (f *Settings) list(path string) gjson.Result { return f.get(f.root, path, gjson.JSON) }
 
-func (f *Facts) nums(path string) []float64 {
+func (f *Settings) nums(path string) []float64 {
 	var all []float64
 	for _, v := range f.list(path).Array() {
 		all = append(all, v.Num)
@@ -66,7 +66,7 @@
 	return all
 }
 
-func (f *Facts) words(path string) []string {
+func (f *Settings) words(path string) []string {
 	var all []string
 	for _, v := range f.list(path).Array() {
 		all = append(all, v.Str)
@@ -74,11 +74,11 @@
 	return all
 }
 
-func asNs(ms float64) time.Duration {
+func durationFromMs(ms float64) time.Duration {
 	return time.Duration(math.Round(max(-4e12, min(4e12, ms)) * 1e6))
 }
 
-func kindOf(word string) (decision.Idempotency, bool) {
+func parseIdempotency(word string) (decision.Idempotency, bool) {
 	switch word {
 	case "repeatable":
 		return decision.Idempotent, true
@@ -88,7 +88,7 @@
 	return decision.NonIdempotent, word == "once"
 }
 
-func groupOf(word string) (decision.DeduplicationScope, bool) {
+func parseDeduplicationScope(word string) (decision.DeduplicationScope, bool) {
 	switch word {
 	case "zone":
 		return decision.ScopeZone, true
@@ -98,7 +98,7 @@
 	return decision.ScopeAll, word == "" || word == "all"
 }
 
-func controlOf(word string) (decision.PromotionMode, bool) {
+func parsePromotionMode(word string) (decision.PromotionMode, bool) {
 	switch word {
 	case "any":
 		return decision.PromoteByAnyVote, true
@@ -109,7 +109,7 @@
 }
 
 // BalancerConfig reads what a balancer is made from, with its op types and tenants in their order. Faults are told by Err.
-func (f *Facts) BalancerConfig(seed uint64) decision.Config {
+func (f *Settings) BalancerConfig(seed uint64) decision.Config {
 	config := decision.Config{
 		Seed:     seed,
 		Rank:     f.count("rank"),
@@ -148,25 +148,25 @@
 	return config
 }
 
-func (f *Facts) opType(index int, lane gjson.Result) decision.OpTypeConfig {
-	idempotency, known := kindOf(f.get(lane, "repeat", gjson.String).Str)
-	scope, in := groupOf(lane.Get("dedup_scope").Str)
+func (f *Settings) opType(index int, lane gjson.Result) decision.OpTypeConfig {
+	idempotency, known := parseIdempotency(f.get(lane, "repeat", gjson.String).Str)
+	scope, in := parseDeduplicationScope(lane.Get("dedup_scope").Str)
 	if !known || !in {
 		f.fault(fmt.Sprintf("lanes.%d", index), "has an unknown kind or group")
 	}
 	return decision.OpTypeConfig{
-		LatencyObjective: asNs(f.get(lane, "aim_ms", gjson.Number).Num),
+		LatencyObjective: durationFromMs(f.get(lane, "aim_ms", gjson.Number).Num),
 		ObjectiveStretch: lane.Get("aim_stretch").Num,
-		ClientTimeout:    asNs(f.get(lane, "give_up_ms", gjson.Number).Num),
+		ClientTimeout:    durationFromMs(f.get(lane, "give_up_ms", gjson.Number).Num),
 		PriorityWeight:   f.get(lane, "gain", gjson.Number).Num,
 		LateValueShare:   lane.Get("late_worth").Num,
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		DedupWindow:      asNs(lane.Get("window_ms").Num),
+		DedupWindow:      durationFromMs(lane.Get("window_ms").Num),
 	}
 }
 
-func (f *Facts) attempts() decision.AttemptConfig {
+func (f *Settings) attempts() decision.AttemptConfig {
 	config := decision.AttemptConfig{Max: f.count("limits.max_attempts"), MayCancel: f.is("limits.may_cancel")}
 	honoured, longest := f.is("limits.retry_after"), f.ns("limits.max_retry_after_ms")
 	if honoured {
@@ -175,8 +175,8 @@
 	return config
 }
 
-func (f *Facts) rollout() decision.RolloutConfig {
-	mode, ok := controlOf(f.word("family_info.decided_by"))
+func (f *Settings) rollout() decision.RolloutConfig {
+	mode, ok := parsePromotionMode(f.word("family_info.decided_by"))
 	if !ok {
 		f.fault("family_info.decided_by", "names no known way")
 	}
@@ -193,11 +193,11 @@
 
 // Asked gives the words by which clients ask for the op types, in their order: those that may be repeated are
 // read, the others written.
-func (f *Facts) Asked() []string {
+func (f *Settings) Asked() []string {
 	var all []string
 	for _, lane := range f.list("lanes").Array() {
 		command := "API.WRITE"
-		if kind, _ := kindOf(lane.Get("repeat").Str); kind == decision.Idempotent {
+		if kind, _ := parseIdempotency(lane.Get("repeat").Str); kind == decision.Idempotent {
 			command = "API.READ"
 		}
 		all = append(all, asks(command, f.get(lane, "name", gjson.String).Str))
@@ -208,44 +208,44 @@
 func asks(command, name string) string { return command + " " + name }
 
 // Zones names the zones in their order.
-func (f *Facts) Zones() []string { return f.words("areas") }
+func (f *Settings) Zones() []string { return f.words("areas") }
 
 // Models names the kinds of machine in their order.
-func (f *Facts) Models() []string { return f.words("host_types") }
+func (f *Settings) Models() []string { return f.words("host_types") }
 
 // Rank is the gateway's number and how many gateways there are. It is read after Gateway, which tells of faults.
-func (f *Facts) Rank() (rank, gateways int) { return f.count("rank"), f.count("balancers") }
+func (f *Settings) Rank() (rank, gateways int) { return f.count("rank"), f.count("balancers") }
 
 // Messages tells whether gateways may send one another messages.
-func (f *Facts) Messages() bool { return f.is("limits.peer_messages") }
+func (f *Settings) Messages() bool { return f.is("limits.peer_messages") }
 
 // MustAsk tells whether the list of instances must be asked for its changes.
-func (f *Facts) MustAsk() bool { return f.word("registry_mode") == "ask" }
+func (f *Settings) MustAsk() bool { return f.word("registry_mode") == "ask" }
 
 // Longest is the longest time that a client waits.
-func (f *Facts) Longest() time.Duration {
+func (f *Settings) Longest() time.Duration {
 	longest := time.Duration(0)
 	for _, lane := range f.list("lanes").Array() {
-		longest = max(longest, asNs(lane.Get("give_up_ms").Num))
+		longest = max(longest, durationFromMs(lane.Get("give_up_ms").Num))
 	}
 	return longest
 }
 
 // ConnectWithin is how long a connection to an endpoint may take to come up.
-func (f *Facts) ConnectWithin() time.Duration { return f.ns("limits.connect_timeout_ms") }
+func (f *Settings) ConnectWithin() time.Duration { return f.ns("limits.connect_timeout_ms") }
 
 // IdleFor is how long an idle connection to an instance may stand.
-func (f *Facts) IdleFor() time.Duration { return f.ns("limits.idle_close_ms") }
+func (f *Settings) IdleFor() time.Duration { return f.ns("limits.idle_close_ms") }
 
 // VoteWithin is how long the answer to a vote is waited for.
-func (f *Facts) VoteWithin() time.Duration { return f.ns("family_info.api_timeout_ms") }
+func (f *Settings) VoteWithin() time.Duration { return f.ns("family_info.api_timeout_ms") }
 
 // AskWithin is how long the list may go unasked before its changes count as told.
-func (f *Facts) AskWithin() time.Duration { return f.ns("invariants.ask_within_ms") }
+func (f *Settings) AskWithin() time.Duration { return f.ns("invariants.ask_within_ms") }
 
 // Busy names the field of a load report that tells how busy an instance is, and its position among the
 // fields; the position is -1 where there is none.
-func (f *Facts) Busy() (string, int) {
+func (f *Settings) Busy() (string, int) {
 	for i, field := range f.words("feedback.fields") {
 		if field == "utilization" {
 			return field, i
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -15,9 +15,9 @@
 // instance is one that the list has named.
 type instance struct {
 	it     *decision.Endpoint
-	number uint32          // of its id, in messages between gateways
-	listed protocol.Member // as discovery last listed it
-	goneAt monotonic.Time  // when it went; 0 while it is listed
+	number uint32                 // of its id, in messages between gateways
+	listed protocol.EndpointEntry // as discovery last listed it
+	goneAt monotonic.Time         // when it went; 0 while it is listed
 
 	down        int64 // the newest revision by which it drained or was gone
 	departed    bool  // a peer's view of a newer revision lacks it
@@ -48,27 +48,27 @@
 
 // Listed tells an answer of discovery, or the list as it was known at the start; it gives the revision. A list that was
 // asked for anew, from no revision on, may be of an older one than held: discovery came back with what it had before.
-func (r *Router) Listed(list *protocol.List, cached, anew bool) (revision int64, err error) {
+func (r *Router) Listed(list *protocol.EndpointList, cached, anew bool) (revision int64, err error) {
 	done := make(chan error, 1)
 	r.events <- func(now monotonic.Time) { done <- r.takeList(list, cached, anew, now) }
 	return list.Revision, <-done
 }
 
 // takeList tells the module a list, unless it is older than the one held: that would undo drains that were told.
-func (r *Router) takeList(list *protocol.List, cached, anew bool, now monotonic.Time) error {
-	if list.Revision < r.list.revision && !(anew && list.Whole) {
-		return protocol.ErrOlder
+func (r *Router) takeList(list *protocol.EndpointList, cached, anew bool, now monotonic.Time) error {
+	if list.Revision < r.list.revision && !(anew && list.Complete) {
+		return protocol.ErrOlderList
 	}
 	r.list.revision = list.Revision
 	current := cached || r.list.exchange == nil || r.list.exchange.Confirmed(list.Revision, anew, now)
 	caughtUp := current && r.dropView(anew)
 	named := map[*decision.Endpoint]bool{}
-	for _, member := range list.Members {
+	for _, member := range list.Entries {
 		i := r.instance(member.ID)
 		named[i.it] = true
 		r.takeMember(i, member, now)
 	}
-	if list.Whole {
+	if list.Complete {
 		r.takeOnly(named, now)
 	}
 	if caughtUp {
@@ -84,7 +84,7 @@
 }
 
 // takeMember tells the module one entry.
-func (r *Router) takeMember(i *instance, member protocol.Member, now monotonic.Time) {
+func (r *Router) takeMember(i *instance, member protocol.EndpointEntry, now monotonic.Time) {
 	if was := i.listed.Address; was != "" && was != member.Address || !member.Present {
 		r.outside.Drop(was)
 	}
@@ -115,7 +115,7 @@
 		Present:     m.Present,
 		Build:       m.Build,
 		Zone:        m.Zone,
-		MachineType: m.Model,
+		MachineType: m.MachineType,
 		Cell:        m.Cell,
 		Size:        m.Size,
 		StartedAt:   m.StartedAt,
@@ -197,7 +197,7 @@
 		l.failures++
 		slog.Warn("the watch of the list ended", "cause", err, "revision", l.revision, "failures", l.failures,
 			"unconfirmed", r.unconfirmed(now))
-		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.Begun {
+		if call := (*protocol.CallError)(nil); errors.As(err, &call) && call.ResponseStarted {
 			r.gateway.DiscoveryResponseBroken(now)
 		}
 		if l.exchange != nil {
@@ -225,11 +225,11 @@
 
 // heardOfList takes in what a peer asks or tells of the list, and tells whether the datagram was of that kind.
 func (r *Router) heardOfList(from int, text []byte, now monotonic.Time) bool {
-	if query, ok := protocol.UnpackQuery(text); ok {
+	if query, ok := protocol.DecodeGossipQuery(text); ok {
 		r.list.exchange.Queried(from, query, now)
 		return true
 	}
-	view, ok := protocol.UnpackView(text)
+	view, ok := protocol.DecodeGossipView(text)
 	if !ok {
 		return false
 	}
@@ -265,19 +265,19 @@
 func (r *Router) exchangeViews(now monotonic.Time) time.Duration {
 	due, wait := r.list.exchange.Next(now)
 	for _, to := range due.Queried {
-		r.outside.Post(to, protocol.PackQuery(due.Query))
+		r.outside.Post(to, protocol.EncodeGossipQuery(due.Query))
 	}
 	var ready []uint32
 	for _, reply := range due.Replies {
 		if !reply.Whole {
-			r.outside.Post(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
+			r.outside.Post(reply.To, protocol.EncodeGossipView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
 			continue
 		}
 		if ready == nil {
 			ready = r.readyIncarnations()
 		}
-		for _, view := range gossip.Split(reply.Revision, reply.Age, ready, protocol.ViewEach) {
-			r.outside.Post(reply.To, protocol.PackView(view))
+		for _, view := range gossip.Split(reply.Revision, reply.Age, ready, protocol.MaxIncarnationsPerView) {
+			r.outside.Post(reply.To, protocol.EncodeGossipView(view))
 		}
 	}
 	return wait
@@ -314,7 +314,7 @@
 func (r *Router) instance(id string) *instance {
 	i := r.instances[id]
 	if i == nil {
-		i = &instance{it: &decision.Endpoint{}, number: numberOf(id), listed: protocol.Member{ID: id}}
+		i = &instance{it: &decision.Endpoint{}, number: numberOf(id), listed: protocol.EndpointEntry{ID: id}}
 		r.instances[id], r.known[i.it], r.numbered[i.number] = i, i, i.it
 	}
 	return i
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -277,9 +277,9 @@
 		if r.list.exchange != nil && r.heardOfList(from, text, now) {
 			return
 		}
-		if t := protocol.UnpackTotals(text, from, r.named); t != nil {
+		if t := protocol.DecodeEvidenceReport(text, from, r.named); t != nil {
 			r.gateway.EvidenceReceived(t, now)
-		} else if f := protocol.UnpackFinding(text, from, r.named); f != nil {
+		} else if f := protocol.DecodeVoterReport(text, from, r.named); f != nil {
 			r.gateway.VoterReportReceived(f, now)
 		}
 	}
@@ -320,7 +320,7 @@
 	}
 	delete(f.of.out, f.dl)
 	heap.Remove(&r.due, f.at)
-	if busy, ok := protocol.Load(response.LoadReport, r.busy); ok {
+	if busy, ok := protocol.ParseUtilization(response.LoadReport, r.busy); ok {
 		r.gateway.LoadReported(f.dl.Endpoint, busy, now)
 	}
 	how := response.Outcome
@@ -393,13 +393,13 @@
 		}
 	}
 	if due.EvidenceReport != nil {
-		text := protocol.PackTotals(due.EvidenceReport, r.number)
+		text := protocol.EncodeEvidenceReport(due.EvidenceReport, r.number)
 		for _, to := range due.EvidenceRecipients {
 			r.outside.Post(to, text)
 		}
 	}
 	if due.VoterReport != nil {
-		r.outside.Post(-1, protocol.PackFinding(due.VoterReport, r.number))
+		r.outside.Post(-1, protocol.EncodeVoterReport(due.VoterReport, r.number))
 	}
 	for _, v := range due.Votes {
 		slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", v.Verdict)
--- a/internal/simulatoradapter/serve.go
+++ b/internal/simulatoradapter/serve.go
@@ -52,7 +52,7 @@
 
 // open starts a gateway from its settings.
 func open(seed uint64, text []byte) (*host, error) {
-	f, err := protocol.ReadSettings(text)
+	f, err := protocol.ParseSettings(text)
 	if err != nil {
 		return nil, err
 	}
@@ -143,13 +143,13 @@
 		}
 	}
 	if due.EvidenceReport != nil {
-		text := protocol.PackTotals(due.EvidenceReport, h.id)
+		text := protocol.EncodeEvidenceReport(due.EvidenceReport, h.id)
 		for _, to := range due.EvidenceRecipients {
 			h.post(uint16(to), text)
 		}
 	}
 	if due.VoterReport != nil {
-		h.post(0xffff, protocol.PackFinding(due.VoterReport, h.id)) // all others
+		h.post(0xffff, protocol.EncodeVoterReport(due.VoterReport, h.id)) // all others
 	}
 	for _, v := range due.Votes {
 		h.out.record(67)
--- a/internal/transport/desk.go
+++ b/internal/transport/desk.go
@@ -138,7 +138,7 @@
 	defer close(done)
 	go readLines(conn, lines, broken, done)
 	d.number++
-	if _, err := conn.Write(protocol.Listen(d.number)); err != nil {
+	if _, err := conn.Write(protocol.EncodeListen(d.number)); err != nil {
 		return err
 	}
 	listening, alive := d.number, time.Now()
@@ -172,7 +172,7 @@
 			}
 		case v := <-cast:
 			d.number++
-			text := protocol.Ballot(d.number, v)
+			text := protocol.EncodeVote(d.number, v)
 			conn.SetWriteDeadline(time.Now().Add(d.within))
 			if n, err := conn.Write(text); n < len(text) {
 				d.voted(decision.OutcomeConnectFailed)
@@ -200,12 +200,12 @@
 
 // readLines hands on whole lines until the connection ends, or a line is not whole in time.
 func readLines(conn net.Conn, lines chan<- []byte, broken chan<- error, done <-chan struct{}) {
-	b := protocol.NewBuffer(protocol.LineMost)
+	b := protocol.NewBuffer(protocol.MaxLineSize)
 	for {
-		n, err := conn.Read(b.Room())
-		b.Add(n)
+		n, err := conn.Read(b.Space())
+		b.Commit(n)
 		for {
-			line, bad := protocol.Line(b)
+			line, bad := protocol.NextLine(b)
 			if bad != nil {
 				err = bad
 			}
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -110,7 +110,7 @@
 		begun, err := d.call(call, leave, address, first)
 		leave()
 		if err != nil {
-			err = &protocol.CallError{Revision: d.revision, Took: time.Since(since), Begun: begun, Cause: err}
+			err = &protocol.CallError{Revision: d.revision, Duration: time.Since(since), ResponseStarted: begun, Err: err}
 		}
 		d.mu.Lock()
 		moved := d.address != address
@@ -158,7 +158,7 @@
 		return false, fmt.Errorf("discovery answered %s", answer.Status)
 	}
 	d.begun()
-	text, err := io.ReadAll(io.LimitReader(&going{answer.Body, stalled}, protocol.ListMost))
+	text, err := io.ReadAll(io.LimitReader(&going{answer.Body, stalled}, protocol.MaxEndpointListSize))
 	if err != nil {
 		return true, err
 	}
@@ -166,7 +166,7 @@
 	if err == nil {
 		d.revision = revision
 	}
-	d.anew = errors.Is(err, protocol.ErrOlder)
+	d.anew = errors.Is(err, protocol.ErrOlderList)
 	return err != nil && !d.anew, err
 }
 
--- a/internal/transport/front.go
+++ b/internal/transport/front.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		f := d.front
-		c := &client{Conn: conn, front: f, buffer: protocol.NewBuffer(protocol.CommandMost), activeAt: time.Now()}
+		c := &client{Conn: conn, front: f, buffer: protocol.NewBuffer(protocol.MaxRequestSize), activeAt: time.Now()}
 		c.within = f.share.take()
 		for begun := time.Now(); !c.within && f.crowded() && time.Since(begun) < newWithin; c.within = f.share.take() {
 			time.Sleep(acceptAgain)
@@ -160,7 +160,7 @@
 	net.Conn
 	front    *Front
 	buffer   *protocol.Buffer
-	commands protocol.Commands
+	commands protocol.RequestScanner
 	greeted  bool      // redcon has been handed what it passes the connection on for
 	begunAt  time.Time // when a command that is not whole was first met; zero if there is none
 	lost     bool      // its framing
@@ -301,15 +301,15 @@
 			fault = "a command is larger than 64 KiB"
 		case size > 0:
 			raw := bytes.Clone(c.buffer.Bytes()[:size])
-			c.buffer.Drop(size)
+			c.buffer.Discard(size)
 			if cmd, err = redcon.Parse(raw); err != nil {
 				c.lost, fault = true, "Protocol error"
 			}
 		case !c.await():
 			c.lost, fault = true, "a command does not end"
 		default:
-			n, err := c.Conn.Read(c.buffer.Room())
-			c.buffer.Add(n)
+			n, err := c.Conn.Read(c.buffer.Space())
+			c.buffer.Commit(n)
 			if late := net.Error(nil); n == 0 && err != nil && !(errors.As(err, &late) && late.Timeout()) {
 				return cmd, "", err
 			}
@@ -335,7 +335,7 @@
 // one comes in a while. It ends a connection on which none does, and tells whether no command stops halfway.
 func (c *client) await() bool {
 	now := time.Now()
-	if len(c.buffer.Bytes()) > 0 || c.commands.Begun() {
+	if len(c.buffer.Bytes()) > 0 || c.commands.Started() {
 		if c.begunAt.IsZero() {
 			c.begunAt = now
 			c.mu.Lock()
--- a/internal/transport/instances.go
+++ b/internal/transport/instances.go
@@ -264,10 +264,10 @@
 func (l *link) read() {
 	reason := "it has stood idle for long enough"
 	defer func() { l.close(reason) }()
-	b, reply := protocol.NewBuffer(protocol.ReplyMost), protocol.Reply{}
+	b, reply := protocol.NewBuffer(protocol.MaxResponseSize), protocol.ResponseReader{}
 	for {
-		n, s, err := l.receive(b.Room())
-		b.Add(n)
+		n, s, err := l.receive(b.Space())
+		b.Commit(n)
 		if n > 0 && !l.take(s, b, &reply) {
 			reason = "it brought what belongs to no answer"
 			return
@@ -307,7 +307,7 @@
 }
 
 // take reads on in what has come for a delivery, and tells whether the connection is still of use.
-func (l *link) take(s *Sending, b *protocol.Buffer, reply *protocol.Reply) bool {
+func (l *link) take(s *Sending, b *protocol.Buffer, reply *protocol.ResponseReader) bool {
 	if s == nil {
 		l.in.complaints.Complain("an instance sent what nobody asked for", "address", l.address)
 		return false
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -51,7 +51,7 @@
 
 // Post sends a datagram to one gateway, or to all where its number is below 0. It does not wait.
 func (p *Peers) Post(to int, text []byte) {
-	if len(text) > protocol.DatagramMost || to >= len(p.each) {
+	if len(text) > protocol.MaxDatagramSize || to >= len(p.each) {
 		return
 	}
 	some := p.each
@@ -86,7 +86,7 @@
 	for i, at := range p.each {
 		numbers[at] = i
 	}
-	b := make([]byte, protocol.DatagramMost+1)
+	b := make([]byte, protocol.MaxDatagramSize+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -97,7 +97,7 @@
 			continue
 		}
 		number, ok := numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > protocol.DatagramMost {
+		if !ok || n > protocol.MaxDatagramSize {
 			complaints.Complain("a datagram of a stranger, or too long", "from", from)
 			continue
 		}
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -44,13 +44,17 @@
 }
 
 // Acked gives the value that an instance gave.
-func (a *Answer) Acked(value []byte) { a.end(protocol.BulkHead(len(value)), value, protocol.End) }
+func (a *Answer) Acked(value []byte) {
+	a.end(protocol.BulkStringHeader(len(value)), value, protocol.BulkStringEnd)
+}
 
 // Nacked tells that trying again is harmless, and when to, if there is such a time.
-func (a *Answer) Nacked(after time.Duration) { a.end(redcon.AppendError(nil, protocol.Refused(after))) }
+func (a *Answer) Nacked(after time.Duration) {
+	a.end(redcon.AppendError(nil, protocol.RejectedMessage(after)))
+}
 
 // Failed promises nothing.
-func (a *Answer) Failed() { a.end(redcon.AppendError(nil, protocol.Failed)) }
+func (a *Answer) Failed() { a.end(redcon.AppendError(nil, protocol.FailedMessage)) }
 
 // refuse answers what cannot be taken as a command.
 func (f *Front) refuse(a *Answer, why string) {
