--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -56,40 +56,25 @@
 // run is one gateway from its configuration until it has ended as it was asked to. It reads the configuration
 // anew each time it is asked again.
 func run(text []byte, reread func() ([]byte, error), ended, again <-chan os.Signal) error {
-	l, err := protocol.ParseGatewayConfiguration(text)
+	configuration, err := protocol.ParseGatewayConfiguration(text)
 	if err != nil {
 		return err
 	}
-	name, listen, discoveryAt, deskAt := l.Name(), l.Listen(), l.Discovery(), l.Desk()
-	seed, known, news := l.Seed(), l.Known(), l.News()
-	cores, memory, descriptors := l.Limits()
-	peersAt, each, all := l.Peers()
-	if l.Err() != nil {
-		return l.Err()
-	}
-	f, err := protocol.ParseSettings(l.SettingsText())
+	settings, err := protocol.ParseGatewaySettings(configuration.Settings)
 	if err != nil {
 		return err
 	}
-	config := f.BalancerConfig(seed)
-	asked := f.Asked()
-	zones, models := f.Zones(), f.Models()
-	busy, _ := f.Busy()
-	mustAsk := f.MustAsk()
-	connectWithin, idleFor := f.ConnectWithin(), f.IdleFor()
-	voteWithin, askWithin, longest := f.VoteWithin(), f.AskWithin(), f.Longest()
-	if f.Err() != nil {
-		return f.Err()
-	}
+	seed, limits, peerAddresses := configuration.Seed, configuration.Limits, configuration.Peers
+	config := settings.BalancerConfig(seed)
 	gateway, err := decision.New(config)
 	if err != nil {
 		return err
 	}
 	named := map[string]*decision.OpType{}
-	for i, one := range asked {
+	for i, one := range settings.RequestNames {
 		named[one] = gateway.OpTypes()[i]
 	}
-	startList, err := protocol.ParseEndpointList(known, zones, models)
+	startList, err := protocol.ParseEndpointList(configuration.EndpointList, settings.Zones, settings.MachineTypes)
 	if err != nil {
 		return fmt.Errorf(`field "known": %w`, err)
 	}
@@ -98,23 +83,23 @@
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", name)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", configuration.Name)
 	slog.SetDefault(log)
-	runtime.GOMAXPROCS(int(math.Ceil(cores)))
-	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
+	runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(limits.MemoryBytes)))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 
 	begun := time.Now()
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
-	budget := transport.NewBudget(descriptors)
+	budget := transport.NewBudget(limits.Descriptors)
 	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
-	instances := transport.NewInstances(budget, complaints, connectWithin, idleFor/2)
+	instances := transport.NewInstances(budget, complaints, settings.ConnectTimeout, settings.IdleTimeout/2)
 	post := func(int, []byte) {}
 	var r *routing.Router
 	var peers *transport.Peers
-	if peersAt != "" {
-		if peers, err = transport.NewPeers(peersAt, each, all); err != nil {
+	if peerAddresses.Listen != "" {
+		if peers, err = transport.NewPeers(peerAddresses.Listen, peerAddresses.Each, peerAddresses.Broadcast); err != nil {
 			return err
 		}
 		defer peers.Close()
@@ -142,7 +127,7 @@
 	}
 	var discovery *transport.Discovery
 	var desk *transport.Desk
-	r = routing.New(gateway, busy, clock, routing.Outside{
+	r = routing.New(gateway, settings.UtilizationField, clock, routing.Outside{
 		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
 			ended func(protocol.Response)) routing.Delivery {
 			return instances.Send(address, until, encode, ended)
@@ -153,7 +138,7 @@
 		Watch: func() { discovery.Watch(ctx) },
 		Build: build,
 	})
-	desk = transport.NewDesk(deskAt, voteWithin, r.News, r.Voted, func(address string, why error) {
+	desk = transport.NewDesk(configuration.RolloutController, settings.VoteTimeout, r.News, r.Voted, func(address string, why error) {
 		if why == nil {
 			log.Info("the platform is heard", "address", address)
 		} else {
@@ -161,27 +146,27 @@
 		}
 	}, lots)
 	gateway.StartLease(clock())
-	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
+	if peers != nil && config.Rollout.PeerMessages && config.Gateways > 1 {
+		r.Share(gossip.NewExchange(config.Rank, config.Gateways, startList.Revision, seededrand.New(seed).Below, clock()))
 	}
-	status, err := protocol.ParseRolloutStatus(news)
+	status, err := protocol.ParseRolloutStatus(configuration.RolloutStatus)
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.News(status)
-	discovery = transport.NewDiscovery(discoveryAt, askWithin, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
-		list, err := protocol.ParseEndpointList(text, zones, models)
+	discovery = transport.NewDiscovery(configuration.Discovery, settings.PollInterval, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
+		list, err := protocol.ParseEndpointList(text, settings.Zones, settings.MachineTypes)
 		if err != nil {
 			return 0, err
 		}
 		return r.Listed(list, false, anew)
 	}, r.ListFailed, lots)
-	ln, err := net.Listen("tcp", listen)
+	ln, err := net.Listen("tcp", configuration.Listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
+	front := transport.NewFront(budget, complaints, int64(handShare*float64(limits.MemoryBytes)), settings.MaxClientTimeout, named,
 		func(request protocol.Request, to *transport.Answer) {
 			r.Command(request, to)
 		}, func(to *transport.Answer) { r.Gone(to) })
@@ -195,7 +180,7 @@
 		go func() { defer close(background); agent.Run(ctx) }()
 		defer func() { stop(); <-background }()
 	}
-	if !mustAsk {
+	if !config.PollDiscovery {
 		go discovery.Keep(ctx)
 	}
 	if peers != nil {
@@ -203,21 +188,21 @@
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- front.Serve(ln) }()
-	log.Info("serving", "address", listen, "memory", memory, "descriptors", descriptors)
+	log.Info("serving", "address", configuration.Listen, "memory", limits.MemoryBytes, "descriptors", limits.Descriptors)
 	var rested chan int
 	for {
 		select {
 		case err := <-failed:
 			return err
 		case <-again: // while ending too: the list and the platform may move then as at any time
-			if listAt, votesAt, err := addresses(reread); err != nil {
+			if moved, err := addresses(reread); err != nil {
 				log.Error("the configuration stays as it was", "cause", err)
 			} else {
-				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
-				if discovery.Move(listAt) {
+				log.Info("the configuration is read again", "discovery", moved.Discovery, "platform", moved.RolloutController)
+				if discovery.Move(moved.Discovery) {
 					r.ListMoved()
 				}
-				desk.Move(votesAt)
+				desk.Move(moved.RolloutController)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -230,7 +215,7 @@
 			}
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
-			answered := min(longest, killedAfter) - killMargin
+			answered := min(settings.MaxClientTimeout, killedAfter) - killMargin
 			r.Ending(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
@@ -260,15 +245,10 @@
 }
 
 // addresses reads what a configuration that is read again may change: where the list and the platform are.
-func addresses(reread func() ([]byte, error)) (discovery, desk string, err error) {
+func addresses(reread func() ([]byte, error)) (protocol.Addresses, error) {
 	text, err := reread()
 	if err != nil {
-		return "", "", err
-	}
-	l, err := protocol.ParseGatewayConfiguration(text)
-	if err != nil {
-		return "", "", err
+		return protocol.Addresses{}, err
 	}
-	discovery, desk = l.Discovery(), l.Desk()
-	return discovery, desk, l.Err()
+	return protocol.ParseAddresses(text)
 }
--- /dev/null
+++ b/internal/protocol/fields.go
@@ -0,0 +1,78 @@
+package protocol
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"github.com/tidwall/gjson"
+)
+
+// FieldError names a field of a JSON document that is missing or has an unusable value.
+type FieldError struct {
+	Kind   string // of field, such as "setting"
+	Field  string // its path in the document
+	Reason string
+}
+
+func (e *FieldError) Error() string { return fmt.Sprintf("%s %q %s", e.Kind, e.Field, e.Reason) }
+
+// fieldReader reads the fields of a JSON object by their paths. Every read gives a value; the first fault of all reads
+// stays in err. Fields that are not read are ignored.
+type fieldReader struct {
+	root gjson.Result
+	kind string // of field, for FieldError
+	err  error
+}
+
+func (r *fieldReader) fail(path, reason string) {
+	if r.err == nil {
+		r.err = &FieldError{Kind: r.kind, Field: path, Reason: reason}
+	}
+}
+
+// get reads a field below an object. For booleans the type is gjson.True.
+func (r *fieldReader) get(object gjson.Result, path string, want gjson.Type) gjson.Result {
+	value := object.Get(path)
+	isBool := value.Type == gjson.True || value.Type == gjson.False
+	switch {
+	case !value.Exists():
+		r.fail(path, "is missing")
+	case value.Type != want && !(want == gjson.True && isBool):
+		r.fail(path, "is of the wrong type")
+	}
+	return value
+}
+
+func (r *fieldReader) number(path string) float64      { return r.get(r.root, path, gjson.Number).Num }
+func (r *fieldReader) integer(path string) int         { return int(r.number(path)) }
+func (r *fieldReader) boolean(path string) bool        { return r.get(r.root, path, gjson.True).Bool() }
+func (r *fieldReader) text(path string) string         { return r.get(r.root, path, gjson.String).Str }
+func (r *fieldReader) json(path string) gjson.Result   { return r.get(r.root, path, gjson.JSON) }
+func (r *fieldReader) list(path string) []gjson.Result { return r.json(path).Array() }
+
+// duration reads a field in milliseconds.
+func (r *fieldReader) duration(path string) time.Duration { return durationFromMs(r.number(path)) }
+
+func (r *fieldReader) numbers(path string) []float64 {
+	var all []float64
+	for _, value := range r.list(path) {
+		all = append(all, value.Num)
+	}
+	return all
+}
+
+func (r *fieldReader) texts(path string) []string {
+	var all []string
+	for _, value := range r.list(path) {
+		all = append(all, value.Str)
+	}
+	return all
+}
+
+// maxMs bounds what is read as a duration, about 127 years: more would not fit into one.
+const maxMs = 4e12
+
+func durationFromMs(ms float64) time.Duration {
+	return time.Duration(math.Round(max(-maxMs, min(maxMs, ms)) * 1e6))
+}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -114,6 +114,15 @@
 	return end + 1, false, nil
 }
 
+// The commands that carry requests.
+const (
+	commandRead  = "API.READ"
+	commandWrite = "API.WRITE"
+)
+
+// requestName is what clients ask for an op type by.
+func requestName(command, opType string) string { return command + " " + opType }
+
 // Request is a request as a client sent it.
 type Request struct {
 	OpType    *decision.OpType
@@ -130,7 +139,7 @@
 	var request Request
 	no := func(why string) (Request, error) { return Request{}, errors.New(why) }
 	most := 4
-	if string(args[0]) == "API.WRITE" {
+	if string(args[0]) == commandWrite {
 		most = 5
 	}
 	if len(args) != most {
@@ -149,7 +158,7 @@
 		switch name {
 		case "c":
 			had := request.OpType
-			if request.OpType = ops[asks(string(args[0]), value)]; request.OpType == nil || had != nil {
+			if request.OpType = ops[requestName(string(args[0]), value)]; request.OpType == nil || had != nil {
 				return no("unknown op type")
 			}
 		case "d":
