--- a/internal/protocol/buffer.go
+++ b/internal/protocol/buffer.go
@@ -1,20 +1,22 @@
-// Package protocol holds the state machines of what the gateway speaks: they are fed bytes and know no
-// socket. A decoded field goes straight into a call; the words of the wire end here.
+// Package protocol translates between bytes and typed messages: RESP requests and responses, endpoint lists, the rollout
+// controller's JSON lines, datagrams between gateways, settings and configuration. Its state machines are fed bytes and
+// know no sockets.
 package protocol
 
-// Buffer is a connection's one buffer: it grows as it needs, up to a bound, and is compacted in place.
+// Buffer is the read buffer of a connection: it grows as needed up to a limit, and is compacted in place.
 type Buffer struct {
 	data       []byte
-	start, end int
+	start, end int // of the bytes read and not yet discarded
 	maxSize    int
 }
 
-const minBufferSize = 1 << 10 // what a buffer starts with, and what is left of one that stands empty
+// minBufferSize is the size that a buffer starts with, and the one it shrinks to when it is empty.
+const minBufferSize = 1 << 10
 
-// NewBuffer makes a buffer that grows to so many bytes at most.
-func NewBuffer(most int) *Buffer { return &Buffer{maxSize: most} }
+// NewBuffer returns an empty buffer that grows to maxSize bytes at most.
+func NewBuffer(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
-// Room is where the next bytes are to be read into; it is empty once the buffer is full.
+// Space returns where the next bytes are to be read into; it is empty once the buffer is full.
 func (b *Buffer) Space() []byte {
 	switch {
 	case b.start == b.end:
@@ -33,11 +35,11 @@
 	return b.data[b.end:]
 }
 
-// Add tells how many bytes were read into the room.
+// Commit appends the n bytes that were read into Space.
 func (b *Buffer) Commit(n int) { b.end += n }
 
-// Bytes are what was read and not yet dropped; they stand until the next Room.
+// Bytes returns what was read and not yet discarded. It is valid until the next call of Space.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Drop lets go of the first bytes.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) { b.start += n }
--- a/internal/protocol/controller.go
+++ b/internal/protocol/controller.go
@@ -10,108 +10,139 @@
 	"laurelring/decision"
 )
 
-// LineMost is the longest line that the platform and the gateway send each other.
+// MaxLineSize is the size of the longest line that the rollout controller and the gateway send each other.
 const MaxLineSize = 8 << 10
 
-var errLineTooLong = errors.New("the line is too long")
+var (
+	errLineTooLong      = errors.New("line is too long")
+	errLineNotJSON      = errors.New("line is not JSON")
+	errUnknownMethod    = errors.New("the line is of an unknown kind")
+	errAnswerWithoutID  = errors.New("answer has no id")
+	errUnknownCallError = errors.New("the answer holds an unknown error")
+)
+
+// The names of verdicts and phases on the wire, by their numbers.
+var (
+	verdictNames = []string{"abstain", "promote", "pause", "abort"}
+	phaseNames   = []string{"testing", "recalling", "live", "recalled"}
+)
 
-// Line takes the next whole line out of the buffer; it stands until the next Room. None is left if it is
-// nil.
+// NextLine removes the next complete line from the buffer and returns it without its end, or nil while there is none.
+// The line is valid until the next call of Space.
 func NextLine(b *Buffer) ([]byte, error) {
 	data := b.Bytes()
 	end := bytes.IndexByte(data, '\n')
-	if end < 0 {
-		if len(data) >= MaxLineSize {
-			return nil, errLineTooLong
-		}
-		return nil, nil
+	switch {
+	case end >= 0:
+		b.Discard(end + 1)
+		return data[:end], nil
+	case len(data) >= MaxLineSize:
+		return nil, errLineTooLong
 	}
-	b.Discard(end + 1)
-	return data[:end], nil
+	return nil, nil
 }
 
-// The words of votes and phases, by their numbers in the module.
-var (
-	verdictNames = []string{"abstain", "promote", "pause", "abort"}
-	phaseNames   = []string{"testing", "recalling", "live", "recalled"}
-)
+// controllerCall is a call to the rollout controller.
+type controllerCall struct {
+	ID      int         `json:"id"`
+	Version string      `json:"jsonrpc"`
+	Method  string      `json:"method"`
+	Params  *voteParams `json:"params,omitempty"`
+}
 
-// Listen is the call that asks for what the platform tells unasked.
-func EncodeListen(id int) []byte { return call(id, "listen", nil) }
+type voteParams struct {
+	Build   int    `json:"release"`
+	Verdict string `json:"ruling"`
+	Stage   int    `json:"tranche"`
+}
 
-// Ballot is the call that casts a vote.
-func EncodeVote(id int, v decision.Vote) []byte {
-	return call(id, "verdict", map[string]any{"release": v.Build, "tranche": v.Stage, "ruling": verdictNames[v.Verdict]})
+// EncodeListen returns the call that asks for the rollout status and its changes.
+func EncodeListen(id int) []byte {
+	return controllerCall{ID: id, Method: "listen"}.encode()
 }
 
-func call(id int, method string, params map[string]any) []byte {
-	all := map[string]any{"jsonrpc": "2.0", "id": id, "method": method}
-	if params != nil {
-		all["params"] = params
-	}
-	text, _ := json.Marshal(all) // words and numbers alone
+// EncodeVote returns the call that casts a vote.
+func EncodeVote(id int, vote decision.Vote) []byte {
+	params := &voteParams{Build: vote.Build, Verdict: verdictNames[vote.Verdict], Stage: vote.Stage}
+	return controllerCall{ID: id, Method: "verdict", Params: params}.encode()
+}
+
+func (c controllerCall) encode() []byte {
+	c.Version = "2.0"
+	text, _ := json.Marshal(c) // strings and integers alone cannot fail
 	return append(text, '\n')
 }
 
-// ControllerEvents are told of what a line of the rollout controller holds.
+// ControllerEvents receive what a line of the rollout controller holds.
 type ControllerEvents struct {
-	Status   func(decision.RolloutStatus)           // sent unasked, or after the answer to a vote
-	Answered func(id int, outcome decision.Outcome) // to the call with this id
+	Status   func(decision.RolloutStatus)           // sent unasked, or as the answer to a call
+	Answered func(id int, outcome decision.Outcome) // the call with this id
 }
 
-// ParseControllerLine reads a line of the rollout controller. The answer to a call comes before the status that it holds.
-// What cannot be read is an error; a sign of life is nothing.
+// ParseControllerLine parses a line of the rollout controller. The answer to a call comes before the status that it
+// holds. A heartbeat gives no event.
 func ParseControllerLine(line []byte, events ControllerEvents) error {
 	if !gjson.ValidBytes(line) {
-		return errors.New("the line is not JSON")
+		return errLineNotJSON
 	}
 	root := gjson.ParseBytes(line)
 	switch method := root.Get("method"); {
 	case method.Str == "news":
 		status, err := parseRolloutStatus(root.Get("params"))
-		if err == nil {
-			events.Status(status)
+		if err != nil {
+			return err
 		}
-		return err
+		events.Status(status)
+		return nil
 	case method.Str == "ping":
 		return nil
 	case method.Exists():
-		return errors.New("the line is of an unknown kind")
+		return errUnknownMethod
 	}
-	id := root.Get("id")
-	if id.Type != gjson.Number {
-		return errors.New("the answer has no id")
+	return parseAnswer(root, events)
+}
+
+func parseAnswer(root gjson.Result, events ControllerEvents) error {
+	idField := root.Get("id")
+	if idField.Type != gjson.Number {
+		return errAnswerWithoutID
 	}
+	id := int(idField.Num)
 	if fault := root.Get("error"); fault.Exists() {
-		how := decision.OutcomeError
-		switch fault.Get("message").Str {
-		case "Throttling":
-			how = decision.OutcomeRejected
-		case "ConditionFailed":
-			how = decision.OutcomeNotSent
-		case "InternalFailure", "ValidationError":
-		default:
-			return errors.New("the answer holds an unknown error")
+		outcome, err := parseCallError(fault.Get("message").Str)
+		if err != nil {
+			return err
 		}
-		events.Answered(int(id.Num), how)
+		events.Answered(id, outcome)
 		return nil
 	}
 	result := root.Get("result")
 	if result.Type == gjson.True {
-		events.Answered(int(id.Num), decision.OutcomeSuccess)
+		events.Answered(id, decision.OutcomeSuccess)
 		return nil
 	}
 	status, err := parseRolloutStatus(result)
 	if err != nil {
 		return err
 	}
-	events.Answered(int(id.Num), decision.OutcomeSuccess)
+	events.Answered(id, decision.OutcomeSuccess)
 	events.Status(status)
 	return nil
 }
 
-// ParseRolloutStatus reads a JSON object that says where the newest build stands. The error is a *FieldError where a
-// field is at fault.
+func parseCallError(message string) (decision.Outcome, error) {
+	switch message {
+	case "Throttling":
+		return decision.OutcomeRejected, nil
+	case "ConditionFailed":
+		return decision.OutcomeNotSent, nil
+	case "InternalFailure", "ValidationError":
+		return decision.OutcomeError, nil
+	}
+	return 0, errUnknownCallError
+}
+
+// ParseRolloutStatus parses a JSON object that says where the newest build stands. The error is a *FieldError.
 func ParseRolloutStatus(text []byte) (decision.RolloutStatus, error) {
 	return parseRolloutStatus(gjson.ParseBytes(text))
 }
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -12,104 +12,125 @@
 	"laurelring/decision/monotonic"
 )
 
-// ErrOlder says that an answer to a watch is older than the list that is held.
-var ErrOlderList = errors.New("the list is older than the one held")
+// MaxEndpointListSize is the size of the longest endpoint list that is read, in bytes.
+const MaxEndpointListSize = 8 << 20
+
+// ErrOlderList says that an answer to a watch is older than the endpoint list held.
+var ErrOlderList = errors.New("endpoint list is older than the one held")
 
-// CallError tells of a call to discovery that brought no list.
+var (
+	errListNotJSON    = errors.New("endpoint list is not JSON")
+	errListIncomplete = errors.New("endpoint list lacks its revision or members")
+)
+
+// CallError is a call to discovery that brought no endpoint list.
 type CallError struct {
-	Revision        int64         // the one that was held
-	Duration        time.Duration // from the call's beginning to its failure
-	ResponseStarted bool          // an answer had begun: what it would have told may have been written
+	Revision        int64         // of the list held
+	Duration        time.Duration // from the start of the call to its failure
+	ResponseStarted bool          // so that changes may have been written that were not read
 	Err             error
 }
 
 func (e *CallError) Error() string {
-	return fmt.Sprintf("a call from revision %d failed after %v: %v", e.Revision, e.Duration, e.Err)
+	return fmt.Sprintf("call from revision %d failed after %v: %v", e.Revision, e.Duration, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns why the call failed.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// ListMost is the size of the longest list that is read.
-const MaxEndpointListSize = 8 << 20
-
-// Member is one instance as the list shows it.
+// EndpointEntry is one endpoint as the endpoint list shows it. Of an endpoint that is gone only the ID is sure to be set.
 type EndpointEntry struct {
 	ID, Address string
-	Ready       bool // it takes new commands
-	Present     bool // it runs or drains; else it is gone, and only its ID is sure to be told
+	Ready       bool // it takes new requests
+	Present     bool // it runs or drains; else it is gone
 	Build       int
-	Zone        int // by their order in the settings; one more than those for an unknown name
-	MachineType int
+	Zone        int // its position in the settings; the number of zones where its name is unknown
+	MachineType int // its position in the settings; the number of machine types where its name is unknown
 	Cell        int
 	Size        float64
-	StartedAt   monotonic.Time // ns of Unix time; 0 for long ago
+	StartedAt   monotonic.Time // by the wall clock, since 1970; 0 for long ago
 }
 
-// List is an answer of discovery: all members, or those that have changed.
+// EndpointList is an answer of discovery: all endpoints, or those that have changed.
 type EndpointList struct {
 	Revision int64
 	Complete bool
 	Entries  []EndpointEntry
 }
 
-// ReadList reads an answer of discovery. One that cannot be read whole is an error, and nothing of it is given. Names
-// of zones and models are found by their order in the settings.
-func ParseEndpointList(text []byte, zones, models []string) (*EndpointList, error) {
+// ParseEndpointList parses an answer of discovery. A list with an entry that is at fault is an error as a whole.
+// Zones and machine types are given by name, in their order in the settings.
+func ParseEndpointList(text []byte, zones, machineTypes []string) (*EndpointList, error) {
 	if !gjson.ValidBytes(text) {
-		return nil, errors.New("the list is not JSON")
+		return nil, errListNotJSON
 	}
 	root := gjson.ParseBytes(text)
 	members := root.Get("members")
 	if root.Get("revision").Type != gjson.Number || !members.IsArray() {
-		return nil, errors.New("the list lacks its revision or members")
+		return nil, errListIncomplete
 	}
 	list := &EndpointList{Revision: root.Get("revision").Int(), Complete: root.Get("complete").Bool()}
-	for _, m := range members.Array() {
-		if err := checkEndpointEntry(m); err != nil {
+	for _, member := range members.Array() {
+		if err := checkEndpointEntry(member); err != nil {
 			return nil, err
 		}
-		list.Entries = append(list.Entries, parseEndpointEntry(m, zones, models))
+		list.Entries = append(list.Entries, parseEndpointEntry(member, zones, machineTypes))
 	}
 	return list, nil
 }
 
-func parseEndpointEntry(m gjson.Result, zones, models []string) EndpointEntry {
+func parseEndpointEntry(member gjson.Result, zones, machineTypes []string) EndpointEntry {
 	size := 1.0
-	if v := m.Get("size"); v.Type == gjson.Number {
-		size = v.Num
+	if field := member.Get("size"); field.Type == gjson.Number {
+		size = field.Num
+	}
+	phase := member.Get("phase").Str
+	return EndpointEntry{
+		ID:          member.Get("id").Str,
+		Address:     member.Get("host_port").Str,
+		Ready:       phase == "up",
+		Present:     phase == "up" || phase == "draining",
+		Build:       int(member.Get("build").Int()),
+		Zone:        indexOrCount(zones, member.Get("locality").Str),
+		MachineType: indexOrCount(machineTypes, member.Get("flavor").Str),
+		Cell:        int(member.Get("cell").Int()),
+		Size:        size,
+		StartedAt:   durationFromMs(member.Get("up_since_ms").Num),
 	}
-	phase := m.Get("phase").Str
-	return EndpointEntry{ID: m.Get("id").Str, Address: m.Get("host_port").Str, Ready: phase == "up",
-		Present: phase == "up" || phase == "draining", Build: int(m.Get("build").Int()),
-		Zone: indexOrCount(zones, m.Get("locality").Str), MachineType: indexOrCount(models, m.Get("flavor").Str),
-		Cell: int(m.Get("cell").Int()), Size: size, StartedAt: durationFromMs(m.Get("up_since_ms").Num)}
 }
 
-// sound tells what a member lacks. An unknown word in place of a phase would read as a machine that is gone.
-func checkEndpointEntry(m gjson.Result) error {
-	phase := m.Get("phase")
-	if m.Get("id").Type != gjson.String || m.Get("id").Str == "" || phase.Type != gjson.String {
-		return errors.New("a member lacks its id or phase")
+// checkEndpointEntry says what an entry lacks. An unknown phase is an error, as it would read as an endpoint that is gone.
+func checkEndpointEntry(member gjson.Result) error {
+	id, phase := member.Get("id"), member.Get("phase")
+	if id.Type != gjson.String || id.Str == "" {
+		return entryFieldError("id", "is missing")
+	}
+	if phase.Type != gjson.String {
+		return entryFieldError("phase", "is missing")
 	}
 	switch phase.Str {
 	case "up", "draining":
 	case "removed":
 		return nil
 	default:
-		return errors.New("a member is in no known phase")
+		return entryFieldError("phase", "is unknown")
 	}
-	if _, err := netip.ParseAddrPort(m.Get("host_port").Str); err != nil {
-		return errors.New("a member lacks its address")
+	if _, err := netip.ParseAddrPort(member.Get("host_port").Str); err != nil {
+		return entryFieldError("host_port", "is no address and port")
 	}
 	for _, name := range []string{"build", "up_since_ms"} {
-		if m.Get(name).Type != gjson.Number {
-			return errors.New("a member lacks its " + name)
+		if member.Get(name).Type != gjson.Number {
+			return entryFieldError(name, "is no number")
 		}
 	}
 	return nil
 }
 
+func entryFieldError(name, reason string) error {
+	return &FieldError{Kind: "endpoint list field", Field: name, Reason: reason}
+}
+
+// indexOrCount returns the position of a name, or the number of names where it is not among them.
 func indexOrCount(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/protocol/evidence.go
+++ b/internal/protocol/evidence.go
@@ -8,98 +8,160 @@
 	"laurelring/decision"
 )
 
-// The first byte of a message between gateways tells what it is; others are passed over.
+// MaxDatagramSize is the size of the longest datagram between gateways, in bytes.
+const MaxDatagramSize = 256
+
+// The first byte of a datagram is the tag of its type; others are ignored.
 const (
 	evidenceReportTag = 1
 	voterReportTag    = 2
-	noUtilization     = 255
-	observationSize   = 7
+	gossipQueryTag    = 3
+	gossipViewTag     = 4
 )
 
-// DatagramMost is the longest message that gateways may send one another.
-const MaxDatagramSize = 256
+// Layout of an evidence report, little-endian: the tag, when it was counted (8 bytes), the build (2), the number of
+// counters (1), the number of observations (1), the counters (varints), the observations. An observation is the
+// endpoint's number (4), its utilization in percent (1), successes (1) and losses (1).
+const (
+	evidenceCountedAt        = 1
+	evidenceBuild            = 9
+	evidenceCounterCount     = 11
+	evidenceObservationCount = 12
+	evidenceHeaderSize       = 13
+
+	observationSize        = 7
+	observationUtilization = 4
+	observationSuccesses   = 5
+	observationLosses      = 6
+
+	noUtilization         = 255 // in place of a percentage
+	maxEncodedUtilization = 2   // larger ones are cut
+)
 
-// PackTotals lays a gateway's running totals and sights out as a message to its peers. Sights beyond the
-// longest message are left out: those with losses come first.
-func EncodeEvidenceReport(t *decision.EvidenceReport, id func(*decision.Endpoint) uint32) []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{evidenceReportTag}, uint64(t.CountedAt))
-	b = binary.LittleEndian.AppendUint16(b, uint16(t.Build))
-	b = append(b, uint8(len(t.Counters)), 0)
-	told := len(b) - 1
-	for _, n := range t.Counters {
+// Layout of a voter report, little-endian: the tag, when it was found (8 bytes), the build (2), the stage (1), the
+// verdict (1), the cost of the baseline (4, floating point), the numbers of the outliers (4 each).
+const (
+	voterFoundAt      = 1
+	voterBuild        = 9
+	voterStage        = 11
+	voterVerdict      = 12
+	voterBaselineCost = 13
+	voterHeaderSize   = 17
+
+	endpointNumberSize = 4
+)
+
+// EncodeEvidenceReport returns a gateway's evidence as a datagram. Observations that do not fit are left out: those with
+// losses come first.
+func EncodeEvidenceReport(report *decision.EvidenceReport, numberOf func(*decision.Endpoint) uint32) []byte {
+	b := binary.LittleEndian.AppendUint64([]byte{evidenceReportTag}, uint64(report.CountedAt))
+	b = binary.LittleEndian.AppendUint16(b, uint16(report.Build))
+	b = append(b, uint8(len(report.Counters)), 0)
+	for _, n := range report.Counters {
 		b = binary.AppendUvarint(b, uint64(n))
 	}
-	for _, one := range t.Observations {
+	for _, observation := range report.Observations {
 		if len(b)+observationSize > MaxDatagramSize {
 			break
 		}
-		load := uint8(noUtilization)
-		if one.Utilization >= 0 {
-			load = uint8(math.Round(min(one.Utilization, 2) * 100))
-		}
-		b = binary.LittleEndian.AppendUint32(b, id(one.Endpoint))
-		b = append(b, load, uint8(min(one.Successes, 255)), uint8(min(one.Losses, 255)))
-		b[told]++
+		b = binary.LittleEndian.AppendUint32(b, numberOf(observation.Endpoint))
+		b = append(b, encodeUtilization(observation.Utilization),
+			uint8(min(observation.Successes, 255)), uint8(min(observation.Losses, 255)))
+		b[evidenceObservationCount]++
 	}
 	return b
 }
 
-// UnpackTotals reads such a message; nil for anything else. Sights of machines not listed here are left out.
-func DecodeEvidenceReport(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.EvidenceReport {
-	if len(text) < 13 || text[0] != evidenceReportTag {
+// DecodeEvidenceReport reads a datagram of a sender; nil if it holds no evidence report. Observations of endpoints that
+// are unknown here are left out.
+func DecodeEvidenceReport(data []byte, sender int, endpoint func(number uint32) *decision.Endpoint) *decision.EvidenceReport {
+	if len(data) < evidenceHeaderSize || data[0] != evidenceReportTag {
 		return nil
 	}
-	t := &decision.EvidenceReport{Sender: from, CountedAt: time.Duration(binary.LittleEndian.Uint64(text[1:])),
-		Build: int(binary.LittleEndian.Uint16(text[9:])), Counters: make([]uint32, text[11])}
-	rest, sights := text[13:], int(text[12])
-	for i := range t.Counters {
-		n, used := binary.Uvarint(rest)
-		if used <= 0 || n > 1<<32-1 {
-			return nil
-		}
-		t.Counters[i], rest = uint32(n), rest[used:]
-	}
-	if len(rest) != observationSize*sights {
+	counters, rest, ok := decodeCounters(data[evidenceHeaderSize:], int(data[evidenceCounterCount]))
+	if !ok || len(rest) != observationSize*int(data[evidenceObservationCount]) {
 		return nil
 	}
+	report := &decision.EvidenceReport{
+		Sender:    sender,
+		CountedAt: time.Duration(binary.LittleEndian.Uint64(data[evidenceCountedAt:])),
+		Build:     int(binary.LittleEndian.Uint16(data[evidenceBuild:])),
+		Counters:  counters,
+	}
 	for ; len(rest) > 0; rest = rest[observationSize:] {
-		one := decision.Observation{Endpoint: named(binary.LittleEndian.Uint32(rest)), Utilization: float64(rest[4]) / 100,
-			Successes: int(rest[5]), Losses: int(rest[6])}
-		if rest[4] == noUtilization {
-			one.Utilization = -1
+		if it := endpoint(binary.LittleEndian.Uint32(rest)); it != nil {
+			report.Observations = append(report.Observations, decision.Observation{
+				Endpoint:    it,
+				Utilization: decodeUtilization(rest[observationUtilization]),
+				Successes:   int(rest[observationSuccesses]),
+				Losses:      int(rest[observationLosses]),
+			})
 		}
-		if one.Endpoint != nil {
-			t.Observations = append(t.Observations, one)
+	}
+	return report
+}
+
+func decodeCounters(data []byte, count int) (counters []uint32, rest []byte, ok bool) {
+	counters = make([]uint32, count)
+	for i := range counters {
+		n, size := binary.Uvarint(data)
+		if size <= 0 || n > math.MaxUint32 {
+			return nil, nil, false
 		}
+		counters[i], data = uint32(n), data[size:]
+	}
+	return counters, data, true
+}
+
+// encodeUtilization keeps whole percent. A utilization below 0 stands for none.
+func encodeUtilization(utilization float64) uint8 {
+	if utilization >= 0 {
+		return uint8(math.Round(min(utilization, maxEncodedUtilization) * 100))
 	}
-	return t
+	return noUtilization
 }
 
-// PackFinding lays out what a voter tells the others.
-func EncodeVoterReport(f *decision.VoterReport, id func(*decision.Endpoint) uint32) []byte {
-	b := binary.LittleEndian.AppendUint64([]byte{voterReportTag}, uint64(f.FoundAt))
-	b = binary.LittleEndian.AppendUint16(b, uint16(f.Build))
-	b = append(b, uint8(f.Stage), uint8(f.Verdict))
-	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(f.BaselineCost)))
-	for _, it := range f.Outliers {
-		b = binary.LittleEndian.AppendUint32(b, id(it))
+func decodeUtilization(code uint8) float64 {
+	if code == noUtilization {
+		return -1
+	}
+	return float64(code) / 100
+}
+
+// EncodeVoterReport returns a voter's report as a datagram.
+func EncodeVoterReport(report *decision.VoterReport, numberOf func(*decision.Endpoint) uint32) []byte {
+	b := binary.LittleEndian.AppendUint64([]byte{voterReportTag}, uint64(report.FoundAt))
+	b = binary.LittleEndian.AppendUint16(b, uint16(report.Build))
+	b = append(b, uint8(report.Stage), uint8(report.Verdict))
+	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(report.BaselineCost)))
+	for _, outlier := range report.Outliers {
+		b = binary.LittleEndian.AppendUint32(b, numberOf(outlier))
 	}
 	return b
 }
 
-// UnpackFinding reads such a message; nil for anything else.
-func DecodeVoterReport(text []byte, from int, named func(uint32) *decision.Endpoint) *decision.VoterReport {
-	if len(text) < 17 || len(text)%4 != 1 || text[0] != voterReportTag ||
-		decision.Verdict(text[12]) > decision.VerdictRollBack {
+// DecodeVoterReport reads a datagram of a sender; nil if it holds no voter report. Outliers that are unknown here are
+// left out.
+func DecodeVoterReport(data []byte, sender int, endpoint func(number uint32) *decision.Endpoint) *decision.VoterReport {
+	if len(data) < voterHeaderSize || (len(data)-voterHeaderSize)%endpointNumberSize != 0 || data[0] != voterReportTag {
 		return nil
 	}
-	f := &decision.VoterReport{Sender: from, FoundAt: time.Duration(binary.LittleEndian.Uint64(text[1:])),
-		Build: int(binary.LittleEndian.Uint16(text[9:])), Stage: int(text[11]), Verdict: decision.Verdict(text[12]),
-		BaselineCost: float64(math.Float32frombits(binary.LittleEndian.Uint32(text[13:])))}
-	for rest := text[17:]; len(rest) > 0; rest = rest[4:] {
-		if it := named(binary.LittleEndian.Uint32(rest)); it != nil {
-			f.Outliers = append(f.Outliers, it)
+	verdict := decision.Verdict(data[voterVerdict])
+	if verdict > decision.VerdictRollBack {
+		return nil
+	}
+	report := &decision.VoterReport{
+		Sender:       sender,
+		FoundAt:      time.Duration(binary.LittleEndian.Uint64(data[voterFoundAt:])),
+		Build:        int(binary.LittleEndian.Uint16(data[voterBuild:])),
+		Stage:        int(data[voterStage]),
+		Verdict:      verdict,
+		BaselineCost: float64(math.Float32frombits(binary.LittleEndian.Uint32(data[voterBaselineCost:]))),
+	}
+	for rest := data[voterHeaderSize:]; len(rest) > 0; rest = rest[endpointNumberSize:] {
+		if it := endpoint(binary.LittleEndian.Uint32(rest)); it != nil {
+			report.Outliers = append(report.Outliers, it)
 		}
 	}
-	return f
+	return report
 }
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -8,71 +8,75 @@
 )
 
 const (
-	gossipQueryTag = 3
-	gossipViewTag  = 4
-
-	maxViewHeaderSize = 1 + 2*binary.MaxVarintLen64 + 2 // the longest: mark, revision, age, part and parts
+	maxViewHeaderSize = 1 + 2*binary.MaxVarintLen64 + 2 // the tag, revision, age, part, and number of parts
 	incarnationSize   = 4
 )
 
-// ViewEach is how many incarnations one datagram of a view holds.
+// MaxIncarnationsPerView is how many incarnations one datagram of a view holds.
 const MaxIncarnationsPerView = (MaxDatagramSize - maxViewHeaderSize) / incarnationSize
 
-// PackQuery lays out a query for peers.
-func EncodeGossipQuery(q gossip.Query) []byte {
-	b := binary.AppendUvarint([]byte{gossipQueryTag}, uint64(q.Revision))
-	return binary.AppendUvarint(b, ceilMs(q.Age))
+// Bounds of what a datagram may say, so that later sums do not overflow.
+const (
+	maxRevision = 1 << 62
+	maxAgeMs    = uint64(1 << 62 / time.Millisecond)
+)
+
+// EncodeGossipQuery returns a query as a datagram.
+func EncodeGossipQuery(query gossip.Query) []byte {
+	b := binary.AppendUvarint([]byte{gossipQueryTag}, uint64(query.Revision))
+	return binary.AppendUvarint(b, ceilMs(query.Age))
 }
 
-// UnpackQuery reads such a message and tells whether it is one.
-func DecodeGossipQuery(text []byte) (gossip.Query, bool) {
-	if len(text) == 0 || text[0] != gossipQueryTag {
+// DecodeGossipQuery reads a datagram and reports whether it holds a query.
+func DecodeGossipQuery(data []byte) (gossip.Query, bool) {
+	if len(data) == 0 || data[0] != gossipQueryTag {
 		return gossip.Query{}, false
 	}
-	revision, age, rest, ok := revisionAndAge(text[1:])
+	revision, age, rest, ok := decodeRevisionAndAge(data[1:])
 	return gossip.Query{Revision: revision, Age: age}, ok && len(rest) == 0
 }
 
-// PackView lays out a part of a view for peers.
-func EncodeGossipView(v gossip.View) []byte {
-	b := binary.AppendUvarint([]byte{gossipViewTag}, uint64(v.Revision))
-	b = binary.AppendUvarint(b, ceilMs(v.Age))
-	b = append(b, uint8(v.Part), uint8(v.Parts))
-	for _, one := range v.Ready {
-		b = binary.LittleEndian.AppendUint32(b, one)
+// EncodeGossipView returns a part of a view as a datagram.
+func EncodeGossipView(view gossip.View) []byte {
+	b := binary.AppendUvarint([]byte{gossipViewTag}, uint64(view.Revision))
+	b = binary.AppendUvarint(b, ceilMs(view.Age))
+	b = append(b, uint8(view.Part), uint8(view.Parts))
+	for _, incarnation := range view.Ready {
+		b = binary.LittleEndian.AppendUint32(b, incarnation)
 	}
 	return b
 }
 
-// UnpackView reads such a message and tells whether it is one.
-func DecodeGossipView(text []byte) (gossip.View, bool) {
-	if len(text) == 0 || text[0] != gossipViewTag {
+// DecodeGossipView reads a datagram and reports whether it holds a part of a view.
+func DecodeGossipView(data []byte) (gossip.View, bool) {
+	if len(data) == 0 || data[0] != gossipViewTag {
 		return gossip.View{}, false
 	}
-	revision, age, rest, ok := revisionAndAge(text[1:])
+	revision, age, rest, ok := decodeRevisionAndAge(data[1:])
 	if !ok || len(rest) < 2 || (len(rest)-2)%incarnationSize != 0 {
 		return gossip.View{}, false
 	}
-	v := gossip.View{Revision: revision, Age: age, Part: int(rest[0]), Parts: int(rest[1])}
+	view := gossip.View{Revision: revision, Age: age, Part: int(rest[0]), Parts: int(rest[1])}
 	for rest = rest[2:]; len(rest) > 0; rest = rest[incarnationSize:] {
-		v.Ready = append(v.Ready, binary.LittleEndian.Uint32(rest))
+		view.Ready = append(view.Ready, binary.LittleEndian.Uint32(rest))
 	}
-	return v, true
+	return view, true
 }
 
-func revisionAndAge(text []byte) (revision int64, age time.Duration, rest []byte, ok bool) {
-	r, used := binary.Uvarint(text)
-	if used <= 0 || r > 1<<62 {
+func decodeRevisionAndAge(data []byte) (revision int64, age time.Duration, rest []byte, ok bool) {
+	encodedRevision, size := binary.Uvarint(data)
+	if size <= 0 || encodedRevision > maxRevision {
 		return 0, 0, nil, false
 	}
-	text = text[used:]
-	a, used := binary.Uvarint(text)
-	if used <= 0 || a > uint64(1<<62/time.Millisecond) {
+	data = data[size:]
+	ageMs, size := binary.Uvarint(data)
+	if size <= 0 || ageMs > maxAgeMs {
 		return 0, 0, nil, false
 	}
-	return int64(r), time.Duration(a) * time.Millisecond, text[used:], true
+	return int64(encodedRevision), time.Duration(ageMs) * time.Millisecond, data[size:], true
 }
 
-func ceilMs(ns time.Duration) uint64 {
-	return uint64(max(ns, 0)+time.Millisecond-1) / uint64(time.Millisecond)
+// ceilMs rounds up, so that what a peer is told is never younger than it is.
+func ceilMs(age time.Duration) uint64 {
+	return uint64(max(age, 0)+time.Millisecond-1) / uint64(time.Millisecond)
 }
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -9,161 +9,209 @@
 	"laurelring/decision"
 )
 
-// ValueMost is the size of the largest value.
+// MaxValueSize is the size of the largest value.
 const MaxValueSize = 64 << 10
 
 const (
-	maxErrorLineSize  = 4 << 10 // the longest line that tells of an error
-	maxHeaderSize     = 32      // the longest line that frames
-	maxLoadReportSize = 4 << 10 // the longest load report
+	maxErrorLineSize  = 4 << 10
+	maxHeaderSize     = 32 // of the line before an array or a bulk string
+	maxLoadReportSize = 4 << 10
+
+	lineEnd        = "\r\n"
+	responseHeader = "*3"
+	nullHeader     = "$-1"
 )
 
-// ReplyMost is what a buffer needs to hold one reply.
+// MaxResponseSize is the size of the longest response, and of the buffer that holds it.
 const MaxResponseSize = MaxValueSize + maxLoadReportSize + 4*maxHeaderSize
 
-var errMalformedResponse = errors.New("damaged reply")
+var errMalformedResponse = errors.New("malformed response")
+
+// responsePart is what may come next of a response: an array of the value, a null, and the load report or a null.
+type responsePart uint8
 
-// Reply reads the replies of an instance, one after the other: an array of the value, a null and the load
-// report or a null, or an error line. Whatever else comes is damage.
+const (
+	responseArray responsePart = iota
+	responseValue
+	responseNull
+	responseLoadReport
+)
+
+// ResponseReader reads an endpoint's responses one after the other: arrays, or error lines. Anything else is malformed.
 type ResponseReader struct {
-	at    int // bytes of the present reply that are understood
-	part  int // parts of its array that are understood, its head among them
-	value span
-	load  span
+	scanned    int // bytes of the present response that are understood
+	part       responsePart
+	value      span
+	loadReport span
 }
 
-// span is a part of the buffer that holds a word; a null has no start.
-type span struct{ from, to int }
+// span is where a bulk string stands in the buffer; it is empty for a null.
+type span struct{ start, end int }
+
+func (s span) isNull() bool { return s.start == 0 }
 
-// Response is how an attempt ended, with what an endpoint sent.
+// Response is how an attempt ended, with what the endpoint sent.
 type Response struct {
 	Outcome    decision.Outcome
 	Value      []byte // nil where none came
 	LoadReport []byte // empty where none came
 }
 
-// Next reads on in what the buffer holds. Once a response is complete it is given, copied, and dropped from the buffer. An
-// error is damage: nothing that follows can be trusted.
-func (r *ResponseReader) Next(b *Buffer) (response Response, done bool, err error) {
+// Next reads on in the buffer. A complete response is copied and removed from the buffer. After an error nothing that
+// follows can be understood.
+func (r *ResponseReader) Next(b *Buffer) (response Response, complete bool, err error) {
 	for {
 		data := b.Bytes()
-		line, size, err := lineOf(data[r.at:])
+		line, size, err := scanResponseLine(data[r.scanned:])
 		if err != nil || size == 0 {
 			return Response{}, false, err
 		}
-		switch {
-		case r.part == 0 && line[0] == '-':
-			how, load, err := refusal(string(line[1:]))
-			r.end(b, size)
-			return Response{Outcome: how, LoadReport: load}, err == nil, err
-		case r.part == 0 && string(line) == "*3":
-			r.part, r.at = 1, size
-			continue
-		case r.part == 0 || r.part == 2 && string(line) != "$-1":
-			return Response{}, false, errMalformedResponse
-		}
-		n, ok := sizeOf(line)
-		if !ok || n > MaxValueSize || r.part == 3 && n > maxLoadReportSize {
-			return Response{}, false, errMalformedResponse
-		}
-		whole, word := size, span{}
-		if n >= 0 {
-			if whole = size + n + 2; len(data)-r.at < whole {
-				return Response{}, false, nil
+		if r.part == responseArray {
+			if line[0] == '-' {
+				return r.finishError(b, line, size)
 			}
-			if data[r.at+whole-2] != '\r' || data[r.at+whole-1] != '\n' {
+			if string(line) != responseHeader {
 				return Response{}, false, errMalformedResponse
 			}
-			word = span{r.at + size, r.at + whole - 2}
+			r.part, r.scanned = responseValue, size
+			continue
 		}
-		switch r.at += whole; r.part {
-		case 1:
-			r.value = word
-		case 3:
-			r.load = word
-			return r.done(b), true, nil
+		complete, err := r.scanPart(data, line, size)
+		if err != nil || !complete {
+			return Response{}, false, err
+		}
+		if r.part == responseLoadReport {
+			return r.finish(b), true, nil
 		}
 		r.part++
 	}
 }
 
-// done gives a complete response and drops it from the buffer. A null is no value.
-func (r *ResponseReader) done(b *Buffer) Response {
+// scanPart takes in the present part, once it is complete. Its header is a line of a size in the buffer.
+func (r *ResponseReader) scanPart(data, line []byte, size int) (complete bool, err error) {
+	if r.part == responseNull && string(line) != nullHeader {
+		return false, errMalformedResponse
+	}
+	length, ok := parseBulkStringHeader(line)
+	if !ok || length > MaxValueSize || r.part == responseLoadReport && length > maxLoadReportSize {
+		return false, errMalformedResponse
+	}
+	end := r.scanned + size
+	var content span
+	if length >= 0 {
+		content = span{end, end + length}
+		end += length + len(lineEnd)
+		if len(data) < end {
+			return false, nil
+		}
+		if string(data[content.end:end]) != lineEnd {
+			return false, errMalformedResponse
+		}
+	}
+	r.scanned = end
+	switch r.part {
+	case responseValue:
+		r.value = content
+	case responseLoadReport:
+		r.loadReport = content
+	}
+	return true, nil
+}
+
+// finish returns the complete response and removes it from the buffer. An endpoint that gives no value has failed.
+func (r *ResponseReader) finish(b *Buffer) Response {
 	data := b.Bytes()
-	response := Response{Outcome: decision.OutcomeError, LoadReport: bytes.Clone(data[r.load.from:r.load.to])}
-	if r.value.from > 0 {
+	response := Response{
+		Outcome:    decision.OutcomeError,
+		LoadReport: bytes.Clone(data[r.loadReport.start:r.loadReport.end]),
+	}
+	if !r.value.isNull() {
 		response.Outcome = decision.OutcomeSuccess
-		response.Value = bytes.Clone(data[r.value.from:r.value.to])
+		response.Value = bytes.Clone(data[r.value.start:r.value.end])
 	}
-	r.end(b, 0)
+	r.reset(b, r.scanned)
 	return response
 }
 
-func (r *ResponseReader) end(b *Buffer, more int) {
-	b.Discard(r.at + more)
+// finishError returns the response that is an error line and removes it from the buffer.
+func (r *ResponseReader) finishError(b *Buffer, line []byte, size int) (Response, bool, error) {
+	outcome, loadReport, err := parseErrorLine(string(line[1:]))
+	r.reset(b, size)
+	return Response{Outcome: outcome, LoadReport: loadReport}, err == nil, err
+}
+
+func (r *ResponseReader) reset(b *Buffer, size int) {
+	b.Discard(size)
 	*r = ResponseReader{}
 }
 
-// sizeOf reads the head of a word: "$5", or "$-1" for a null.
-func sizeOf(line []byte) (int, bool) {
+// parseBulkStringHeader reads a header such as "$5". The length is -1 for a null.
+func parseBulkStringHeader(line []byte) (length int, ok bool) {
 	if line[0] != '$' || len(line) > 1 && line[1] == '+' {
 		return 0, false
 	}
-	n, err := strconv.Atoi(string(line[1:]))
-	return n, err == nil && n >= -1
+	length, err := strconv.Atoi(string(line[1:]))
+	return length, err == nil && length >= -1
 }
 
-// lineOf gives the line that the data begins with, without its end, and its size with it; 0 while it is not
-// whole.
-func lineOf(data []byte) ([]byte, int, error) {
+// scanResponseLine returns the line that the data begins with, without its end, and its size with it. The size is 0
+// while the line is not complete.
+func scanResponseLine(data []byte) (line []byte, size int, err error) {
 	if len(data) == 0 {
 		return nil, 0, nil
 	}
-	most := maxHeaderSize
-	if data[0] == '-' {
-		most = maxErrorLineSize
-	} else if data[0] != '*' && data[0] != '$' {
+	var maxSize int
+	switch data[0] {
+	case '-':
+		maxSize = maxErrorLineSize
+	case '*', '$':
+		maxSize = maxHeaderSize
+	default:
 		return nil, 0, errMalformedResponse
 	}
-	at := bytes.IndexByte(data[:min(len(data), most)], '\n')
+	end := bytes.IndexByte(data[:min(len(data), maxSize)], '\n')
 	switch {
-	case at < 0 && len(data) >= most:
+	case end < 0 && len(data) >= maxSize:
 		return nil, 0, errMalformedResponse
-	case at < 0:
+	case end < 0:
 		return nil, 0, nil
-	case at < 3 || data[at-1] != '\r':
+	case end < 3 || data[end-1] != '\r':
 		return nil, 0, errMalformedResponse
 	}
-	return data[:at-1], at + 1, nil
+	return data[:end-1], end + 1, nil
 }
 
-// refusal reads an error line: only one that says busy proves that the command never ran. A load report may
-// stand last. A line that begins otherwise is no instance's.
-func refusal(line string) (decision.Outcome, []byte, error) {
-	word, _, _ := strings.Cut(line, " ")
-	how := decision.OutcomeError
-	switch word {
+// parseErrorLine reads an error without its "-". Only BUSY proves that the request never executed. A load report may
+// stand last. No endpoint sends an error that begins otherwise.
+func parseErrorLine(line string) (outcome decision.Outcome, loadReport []byte, err error) {
+	code, _, _ := strings.Cut(line, " ")
+	switch code {
 	case "BUSY":
-		how = decision.OutcomeRejected
+		outcome = decision.OutcomeRejected
 	case "ERR", "SYNTAX", "NOPERM":
+		outcome = decision.OutcomeError
 	default:
 		return 0, nil, errMalformedResponse
 	}
-	if last := line[strings.LastIndexByte(line, ' ')+1:]; strings.Contains(last, "=") {
-		return how, []byte(last), nil
+	last := line[strings.LastIndexByte(line, ' ')+1:]
+	if strings.Contains(last, "=") {
+		loadReport = []byte(last)
 	}
-	return how, nil, nil
+	return outcome, loadReport, nil
 }
 
-// Load finds a field's figure in a load report.
-func ParseUtilization(report []byte, field string) (float64, bool) {
+// maxUtilization is above any figure that an endpoint could mean.
+const maxUtilization = 1e6
+
+// ParseUtilization returns the value of a field in a load report, if there is a usable one.
+func ParseUtilization(report []byte, field string) (utilization float64, ok bool) {
 	if len(report) == 0 || field == "" {
 		return 0, false
 	}
-	for _, one := range strings.Split(string(report), ",") {
-		if name, text, _ := strings.Cut(one, "="); name == field {
-			v, err := strconv.ParseFloat(text, 64)
-			return v, err == nil && v >= 0 && v < 1e6
+	for _, entry := range strings.Split(string(report), ",") {
+		if name, text, _ := strings.Cut(entry, "="); name == field {
+			value, err := strconv.ParseFloat(text, 64)
+			return value, err == nil && value >= 0 && value < maxUtilization
 		}
 	}
 	return 0, false
