--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -92,18 +92,22 @@
 
 	begun := time.Now()
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
-	budget := transport.NewBudget(limits.Descriptors)
-	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
-	instances := transport.NewInstances(budget, complaints, settings.ConnectTimeout, settings.IdleTimeout/2)
+	budget := transport.NewDescriptorBudget(limits.Descriptors)
+	complaints, lots := &transport.RateLimitedLog{}, seededrand.New(seed)
+	endpoints, err := transport.NewEndpointPool(transport.EndpointPoolConfig{
+		Budget: budget, Log: complaints, ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.IdleTimeout / 2})
+	if err != nil {
+		return err
+	}
 	post := func(int, []byte) {}
 	var r *routing.Router
-	var peers *transport.Peers
+	var peers *transport.PeerSocket
 	if peerAddresses.Listen != "" {
-		if peers, err = transport.NewPeers(peerAddresses.Listen, peerAddresses.Each, peerAddresses.Broadcast); err != nil {
+		if peers, err = transport.NewPeerSocket(peerAddresses.Listen, peerAddresses.Each, peerAddresses.Broadcast); err != nil {
 			return err
 		}
 		defer peers.Close()
-		post = peers.Post
+		post = peers.Send
 	}
 	var build func(int)
 	var agent *tuf.Agent
@@ -125,26 +129,29 @@
 			build = agent.Build
 		}
 	}
-	var discovery *transport.Discovery
-	var desk *transport.Desk
+	var discovery *transport.DiscoveryClient
+	var rolloutClient *transport.RolloutClient
 	r = routing.New(gateway, settings.UtilizationField, clock, routing.Outside{
 		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
 			ended func(protocol.Response)) routing.Delivery {
-			return instances.Send(address, until, encode, ended)
+			return endpoints.Send(address, until, encode, ended)
 		},
-		Drop:  instances.Drop,
+		Drop:  endpoints.CloseIdleTo,
 		Post:  post,
-		Vote:  func(v decision.Vote) { desk.Vote(v) },
-		Watch: func() { discovery.Watch(ctx) },
+		Vote:  func(v decision.Vote) { rolloutClient.Vote(v) },
+		Watch: func() { discovery.StartWatch(ctx) },
 		Build: build,
 	})
-	desk = transport.NewDesk(configuration.RolloutController, settings.VoteTimeout, r.News, r.Voted, func(address string, why error) {
-		if why == nil {
-			log.Info("the platform is heard", "address", address)
-		} else {
-			log.Warn("the platform is lost", "address", address, "cause", why)
-		}
-	}, lots)
+	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
+		Address: configuration.RolloutController, VoteTimeout: settings.VoteTimeout, Random: lots, OnStatus: r.News, OnVoteResult: r.Voted,
+		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
+		OnDisconnected: func(address string, err error) {
+			log.Warn("rollout controller disconnected", "address", address, "error", err)
+		},
+	})
+	if err != nil {
+		return err
+	}
 	gateway.StartLease(clock())
 	if peers != nil && config.Rollout.PeerMessages && config.Gateways > 1 {
 		r.Share(gossip.NewExchange(config.Rank, config.Gateways, startList.Revision, seededrand.New(seed).Below, clock()))
@@ -154,40 +161,54 @@
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.News(status)
-	discovery = transport.NewDiscovery(configuration.Discovery, settings.PollInterval, startList.Revision, r.ListBegun, func(text []byte, anew bool) (int64, error) {
-		list, err := protocol.ParseEndpointList(text, settings.Zones, settings.MachineTypes)
-		if err != nil {
-			return 0, err
-		}
-		return r.Listed(list, false, anew)
-	}, r.ListFailed, lots)
+	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
+		Address: configuration.Discovery, MaxWait: settings.PollInterval, Revision: startList.Revision, Random: lots,
+		OnListStart: r.ListBegun,
+		OnList: func(text []byte, full bool) (int64, error) {
+			list, err := protocol.ParseEndpointList(text, settings.Zones, settings.MachineTypes)
+			if err != nil {
+				return 0, err
+			}
+			return r.Listed(list, false, full)
+		},
+		OnFailure: r.ListFailed,
+	})
+	if err != nil {
+		return err
+	}
 	ln, err := net.Listen("tcp", configuration.Listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	front := transport.NewFront(budget, complaints, int64(handShare*float64(limits.MemoryBytes)), settings.MaxClientTimeout, named,
-		func(request protocol.Request, to *transport.Answer) {
-			r.Command(request, to)
-		}, func(to *transport.Answer) { r.Gone(to) })
+	clients, err := transport.NewClientServer(transport.ClientServerConfig{
+		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(limits.MemoryBytes)),
+		MaxRemaining: settings.MaxClientTimeout,
+		OpTypes:      named,
+		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.Command(request, response) },
+		OnDisconnect: func(response *transport.PendingResponse) { r.Gone(response) },
+	})
+	if err != nil {
+		return err
+	}
 	go r.Run(ctx)
 	if _, err := r.Listed(startList, true, false); err != nil {
 		return err
 	}
-	go desk.Run(ctx)
+	go rolloutClient.Run(ctx)
 	if agent != nil {
 		background := make(chan struct{}) // it holds the store until it has ended
 		go func() { defer close(background); agent.Run(ctx) }()
 		defer func() { stop(); <-background }()
 	}
 	if !config.PollDiscovery {
-		go discovery.Keep(ctx)
+		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
 		go peers.Run(r.Heard, complaints)
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- front.Serve(ln) }()
+	go func() { failed <- clients.Serve(ln) }()
 	log.Info("serving", "address", configuration.Listen, "memory", limits.MemoryBytes, "descriptors", limits.Descriptors)
 	var rested chan int
 	for {
@@ -199,10 +220,10 @@
 				log.Error("the configuration stays as it was", "cause", err)
 			} else {
 				log.Info("the configuration is read again", "discovery", moved.Discovery, "platform", moved.RolloutController)
-				if discovery.Move(moved.Discovery) {
+				if discovery.SetAddress(moved.Discovery) {
 					r.ListMoved()
 				}
-				desk.Move(moved.RolloutController)
+				rolloutClient.SetAddress(moved.RolloutController)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -219,8 +240,8 @@
 			r.Ending(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
-				front.Drain()
-				rested <- front.Rest(answered + 2*killMargin)
+				clients.Drain()
+				rested <- clients.AwaitDisconnects(answered + 2*killMargin)
 			}()
 		case n := <-rested:
 			if n > 0 {
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/seeded"
 )
 
 const (
@@ -14,12 +15,12 @@
 
 // Where decides on a command that needs a delivery: the ordinary path, from top to bottom.
 func (lb *Balancer) Route(request *Request, now monotonic.Time) Decision {
-	if request.Completed || request.InFlight > 0 {
+	if request.completed || request.inFlight > 0 {
 		return Decision{Action: ActionNone}
 	}
 	// A delivery is made only if the time left exceeds the time it is expected to take, and if it can still be
 	// worth something; else the final answer goes out at once.
-	if len(request.Attempts) >= lb.attemptLimits.maxAttempts {
+	if len(request.attempts) >= lb.attemptLimits.maxAttempts {
 		return lb.refuse(request, ReasonAttemptsExhausted)
 	}
 	if lb.worthwhileUntil(request)-now <= time.Duration(lb.expectedLatency(request)) {
@@ -45,15 +46,15 @@
 		return lb.enqueue(request)
 	}
 	lb.dequeue(request)
-	attempt := &Attempt{Number: len(request.Attempts), Request: request, Endpoint: endpoint, sentAt: now, mayHaveExecuted: true,
+	attempt := &Attempt{number: len(request.attempts), Request: request, Endpoint: endpoint, sentAt: now, mayHaveExecuted: true,
 		build: endpoint.build, zone: endpoint.zone, cell: endpoint.cell, duringWarmUp: endpoint.startedAt > 0 && now-endpoint.startedAt < evidenceWarmUp}
-	request.Attempts = append(request.Attempts, attempt)
-	request.InFlight++
+	request.attempts = append(request.attempts, attempt)
+	request.inFlight++
 	endpoint.inFlight, endpoint.lastAttemptAt = append(endpoint.inFlight, attempt), now
 	lb.inFlight++
-	endpoint.recentAttempts.add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
+	endpoint.recentAttempts.Add(now, max(lb.slowStart.overloadSpan, canaryShareSpan))
 	if lb.isCanary(endpoint.build) {
-		lb.canaryAttempts(endpoint.build, request.opType).add(now, lb.canary.window)
+		lb.canary.exposure.RecordAttempt(endpoint.build, request.opType.index, now)
 	}
 	// It may stay out as long as the client waits: what we stop waiting for may go on working unseen, and a
 	// limit that does not count it lets a jam feed itself. Silent machines are found out by rescue instead.
@@ -62,7 +63,7 @@
 
 // allowed checks the rules for one delivery, each on this gateway's own knowledge.
 func (lb *Balancer) mayAttempt(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
-	if request.Completed || now >= request.deadline || now < lb.catchUpUntil || len(request.Attempts) >= lb.attemptLimits.maxAttempts || request.InFlight > 0 {
+	if request.completed || now >= request.deadline || now < lb.catchUpUntil || len(request.attempts) >= lb.attemptLimits.maxAttempts || request.inFlight > 0 {
 		return false
 	}
 	return endpoint.listed && endpoint.ready && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) && lb.repeatAllowed(request, endpoint, now) && lb.withinExposureCap(request, endpoint, now) && lb.withinSlowStart(endpoint, now)
@@ -73,7 +74,7 @@
 // nothing. Guards against connections that come up late; a lower cap above nothing binds later, with the window.
 func (lb *Balancer) AttemptAllowed(attempt *Attempt, now monotonic.Time) bool {
 	endpoint := attempt.Endpoint
-	return !attempt.Request.Completed && endpoint.listed && endpoint.ready && endpoint.build == attempt.build && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) &&
+	return !attempt.Request.completed && endpoint.listed && endpoint.ready && endpoint.build == attempt.build && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build) &&
 		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.cap <= 0)
 }
 
@@ -93,11 +94,11 @@
 // FinishAttempt takes in how an attempt ended and decides what becomes of its request.
 func (lb *Balancer) FinishAttempt(attempt *Attempt, result AttemptResult, now monotonic.Time) Decision {
 	request, endpoint, outcome := attempt.Request, attempt.Endpoint, result.Outcome
-	if attempt.Done {
+	if attempt.done {
 		return Decision{Action: ActionNone}
 	}
-	attempt.Done = true
-	request.InFlight--
+	attempt.done = true
+	request.inFlight--
 	if lb.lastFinishedAt = now; !attempt.endpointSilent {
 		lb.inFlight--
 	}
@@ -108,13 +109,13 @@
 	lb.updateHealth(attempt, outcome, result.Duration, now)
 	lb.recordEvidence(attempt, outcome, result.Duration, now)
 	if outcome == OutcomeSuccess {
-		lb.stick(request.key, attempt.build)
+		lb.bindKey(request.key, attempt.build)
 	}
 	if result.Settled || outcome == OutcomeSuccess {
-		request.Completed = true
+		request.completed = true
 		lb.dequeue(request)
 	}
-	if attempt.mayHaveExecuted && request.opType.idempotency == NonIdempotent && !request.Completed {
+	if attempt.mayHaveExecuted && request.opType.idempotency == NonIdempotent && !request.completed {
 		return lb.refuse(request, ReasonMayHaveExecuted)
 	}
 	return lb.Route(request, now)
@@ -126,8 +127,8 @@
 	until := now + 10*time.Second
 	if lb.startedAt == 0 {
 		lb.startedAt = now - time.Millisecond
-		lb.rollout.nextEvidenceAt = now + time.Duration(lb.draw(int(evidenceInterval/time.Millisecond)))*time.Millisecond // gateways take turns at the voters
-		lb.scheduleFirstPoll(now)
+		lb.rollout.nextEvidenceAt = now + lb.random.Jitter(evidenceInterval) // gateways take turns at the voters
+		lb.endpointList.polling.Start(lb.gateways, &lb.random, now)
 	}
 	for i, request := range lb.queue {
 		// The head of the queue, and whoever's time is about to run out.
@@ -138,7 +139,8 @@
 	if len(lb.queue) > 0 {
 		until = now + 2*lb.tick
 	}
-	until = lb.pollDiscovery(now, &due, until)
+	poll, nextPollAt := lb.endpointList.polling.Poll(now)
+	due.PollDiscovery, until = poll, min(until, nextPollAt)
 	for _, endpoint := range lb.endpoints {
 		until = min(until, lb.cancelSilentAttempts(endpoint, now, &due))
 	}
@@ -172,7 +174,7 @@
 	rank, gateways      int
 	zone                int
 	tick                time.Duration
-	seed, draws         uint64
+	random              seeded.Source
 	startedAt           monotonic.Time // when it was first asked
 	endpoints           []*Endpoint
 	opTypes             []*OpType
@@ -190,10 +192,9 @@
 	verifiedBuilds      map[int]bool   // builds that are what was signed; nil where any is taken
 	attemptLimits       attemptLimits
 	// No delivery goes out until then: the gateway has stood still.
-	catchUpUntil     monotonic.Time
-	canary           canaryState
-	slowStart        slowStartState
-	endpointList     endpointListState
-	discoveryPolling pollPacing
-	rollout          rolloutState
+	catchUpUntil monotonic.Time
+	canary       canaryState
+	slowStart    slowStartState
+	endpointList endpointListState
+	rollout      rolloutState
 }
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"laurelring/decision/monotonic"
+	"laurelring/decision/seeded"
 )
 
 const (
@@ -68,7 +69,7 @@
 	} else if rollout.ownCounters != nil && !deaf && rollout.costBaseline == nil {
 		lb.restartCostBaseline(now)
 	}
-	rollout.costComparable = rollout.costBaseline != nil && now-rollout.costBaselineAt >= max(voterReportTTL, canary.window) // a few deliveries come in bursts
+	rollout.costComparable = rollout.costBaseline != nil && now-rollout.costBaselineAt >= max(voterReportTTL, canary.exposure.Window()) // a few deliveries come in bursts
 	found := VerdictNone
 	// One vote of a few is enough where no more are required.
 	if rollout.ownCounters != nil && (voter || max(rollout.promoteVotes, rollout.rollbackVotes) > len(voters)) {
@@ -161,7 +162,7 @@
 	if rollout.voters == nil || rollout.votersBuild != build {
 		all, order := make([]int, lb.gateways), make([]uint64, lb.gateways)
 		for i := range all {
-			all[i], order[i] = i, hashPair(uint64(build), uint64(i))
+			all[i], order[i] = i, seeded.Hash(uint64(build), uint64(i))
 		}
 		slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(order[a], order[b]) })
 		rollout.voters, rollout.votersBuild = all[:n], build
