--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -123,7 +123,7 @@
 		}
 		defer kept.Close()
 		defer client.Close()
-		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.Busy() }, func(build int, so bool) { r.Vouched(build, so) })
+		agent = tuf.NewAgent(operator, client, seed, func() bool { return r.HasQueuedRequests() }, func(build int, so bool) { r.BuildVerified(build, so) })
 		if operator.Builds != "" {
 			gateway.RequireVerifiedBuilds()
 			build = agent.Build
@@ -131,19 +131,28 @@
 	}
 	var discovery *transport.DiscoveryClient
 	var rolloutClient *transport.RolloutClient
-	r = routing.New(gateway, settings.UtilizationField, clock, routing.Outside{
-		Send: func(address string, until time.Time, encode func(time.Duration) []byte,
-			ended func(protocol.Response)) routing.Delivery {
-			return endpoints.Send(address, until, encode, ended)
+	var exchange *gossip.Exchange
+	if peers != nil && config.Rollout.PeerMessages && config.Gateways > 1 {
+		exchange = gossip.NewExchange(gossip.Config{Rank: config.Rank, Gateways: config.Gateways, Revision: startList.Revision,
+			Random: seededrand.New(seed).Below}, clock())
+	}
+	drivers := routing.Drivers{
+		StartAttempt: func(attempt routing.AttemptRequest) routing.AttemptHandle {
+			return endpoints.Send(attempt.Address, attempt.Deadline, attempt.Encode, attempt.Finished)
 		},
-		Drop:  endpoints.CloseIdleTo,
-		Post:  post,
-		Vote:  func(v decision.Vote) { rolloutClient.Vote(v) },
-		Watch: func() { discovery.StartWatch(ctx) },
-		Build: build,
-	})
+		CloseIdleConnections: endpoints.CloseIdleTo,
+		SendDatagram:         post,
+		CastVote:             func(v decision.Vote) { rolloutClient.Vote(v) },
+		PollDiscovery:        func() { discovery.StartWatch(ctx) },
+		VerifyBuild:          build,
+	}
+	r, err = routing.New(routing.Config{Balancer: gateway, UtilizationField: settings.UtilizationField, Clock: clock, Drivers: drivers,
+		Gossip: exchange})
+	if err != nil {
+		return err
+	}
 	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
-		Address: configuration.RolloutController, VoteTimeout: settings.VoteTimeout, Random: lots, OnStatus: r.News, OnVoteResult: r.Voted,
+		Address: configuration.RolloutController, VoteTimeout: settings.VoteTimeout, Random: lots, OnStatus: r.RolloutStatusReceived, OnVoteResult: r.VoteAnswered,
 		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
 		OnDisconnected: func(address string, err error) {
 			log.Warn("rollout controller disconnected", "address", address, "error", err)
@@ -153,25 +162,22 @@
 		return err
 	}
 	gateway.StartLease(clock())
-	if peers != nil && config.Rollout.PeerMessages && config.Gateways > 1 {
-		r.Share(gossip.NewExchange(config.Rank, config.Gateways, startList.Revision, seededrand.New(seed).Below, clock()))
-	}
 	status, err := protocol.ParseRolloutStatus(configuration.RolloutStatus)
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
-	r.News(status)
+	r.RolloutStatusReceived(status)
 	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
 		Address: configuration.Discovery, MaxWait: settings.PollInterval, Revision: startList.Revision, Random: lots,
-		OnListStart: r.ListBegun,
+		OnListStart: r.DiscoveryResponseStarted,
 		OnList: func(text []byte, full bool) (int64, error) {
 			list, err := protocol.ParseEndpointList(text, settings.Zones, settings.MachineTypes)
 			if err != nil {
 				return 0, err
 			}
-			return r.Listed(list, false, full)
+			return list.Revision, r.EndpointListReceived(routing.EndpointListUpdate{List: list, Full: full})
 		},
-		OnFailure: r.ListFailed,
+		OnFailure: r.DiscoveryFailed,
 	})
 	if err != nil {
 		return err
@@ -185,14 +191,16 @@
 		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(limits.MemoryBytes)),
 		MaxRemaining: settings.MaxClientTimeout,
 		OpTypes:      named,
-		OnRequest:    func(request protocol.Request, response *transport.PendingResponse) { r.Command(request, response) },
-		OnDisconnect: func(response *transport.PendingResponse) { r.Gone(response) },
+		OnRequest: func(request protocol.Request, response *transport.PendingResponse) {
+			r.RequestArrived(request, response)
+		},
+		OnDisconnect: func(response *transport.PendingResponse) { r.ClientDisconnected(response) },
 	})
 	if err != nil {
 		return err
 	}
 	go r.Run(ctx)
-	if _, err := r.Listed(startList, true, false); err != nil {
+	if err := r.EndpointListReceived(routing.EndpointListUpdate{List: startList, Cached: true}); err != nil {
 		return err
 	}
 	go rolloutClient.Run(ctx)
@@ -205,7 +213,7 @@
 		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
-		go peers.Run(r.Heard, complaints)
+		go peers.Run(r.DatagramReceived, complaints)
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- clients.Serve(ln) }()
@@ -221,7 +229,7 @@
 			} else {
 				log.Info("the configuration is read again", "discovery", moved.Discovery, "platform", moved.RolloutController)
 				if discovery.SetAddress(moved.Discovery) {
-					r.ListMoved()
+					r.DiscoveryMoved()
 				}
 				rolloutClient.SetAddress(moved.RolloutController)
 			}
@@ -237,7 +245,7 @@
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
 			answered := min(settings.MaxClientTimeout, killedAfter) - killMargin
-			r.Ending(servesOn + answered)
+			r.ShutdownWithin(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
 				clients.Drain()
--- a/internal/transport/pending_response.go
+++ b/internal/transport/pending_response.go
@@ -23,18 +23,18 @@
 	return &PendingResponse{done: make(chan struct{}), requestBytes: int64(requestBytes)}
 }
 
-// Acked responds with the value that an endpoint gave.
-func (r *PendingResponse) Acked(value []byte) {
+// Respond responds with the value that an endpoint gave.
+func (r *PendingResponse) Respond(value []byte) {
 	r.complete(protocol.BulkStringHeader(len(value)), value, protocol.BulkStringEnd)
 }
 
-// Nacked responds that the request did not run and may be sent again, after the given time if it is not 0.
-func (r *PendingResponse) Nacked(after time.Duration) {
+// Reject responds that the request did not run and may be sent again, after the given time if it is not 0.
+func (r *PendingResponse) Reject(after time.Duration) {
 	r.complete(redcon.AppendError(nil, protocol.RejectedMessage(after)))
 }
 
-// Failed responds that the request may have run or not.
-func (r *PendingResponse) Failed() { r.complete(redcon.AppendError(nil, protocol.FailedMessage)) }
+// Fail responds that the request may have run or not.
+func (r *PendingResponse) Fail() { r.complete(redcon.AppendError(nil, protocol.FailedMessage)) }
 
 func (r *PendingResponse) complete(parts ...[]byte) {
 	r.once.Do(func() {
