--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -54,7 +54,7 @@
 	}
 	delete(request.attempts, attempt.state)
 	r.timers.remove(attempt)
-	if utilization, ok := protocol.Load(response.LoadReport, r.utilizationField); ok {
+	if utilization, ok := protocol.ParseUtilization(response.LoadReport, r.utilizationField); ok {
 		r.balancer.LoadReported(attempt.state.Endpoint, utilization, now)
 	}
 	outcome := response.Outcome
--- a/internal/transport/client_listener.go
+++ b/internal/transport/client_listener.go
@@ -32,7 +32,7 @@
 
 // register enters an accepted connection into the table, with a descriptor or in overflow.
 func (s *ClientServer) register(conn net.Conn) *clientConnection {
-	c := &clientConnection{Conn: conn, server: s, buffer: protocol.NewBuffer(protocol.CommandMost),
+	c := &clientConnection{Conn: conn, server: s, buffer: protocol.NewBuffer(protocol.MaxRequestSize),
 		lastActive: time.Now()}
 	if c.hasDescriptor = s.acquireForNewConnection(); c.hasDescriptor {
 		c.releasePlace = s.quota.release
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -60,7 +60,7 @@
 	// binds the gateway from the moment it is written.
 	OnListStart func()
 	// OnList is called with the text of each list that arrived. full says that the poll asked for the list from
-	// no revision on. It returns the revision of the list, or protocol.ErrOlder where a newer one is held: the
+	// no revision on. It returns the revision of the list, or protocol.ErrOlderList where a newer one is held: the
 	// next poll asks for the full list then.
 	OnList func(text []byte, full bool) (revision int64, err error)
 	// OnFailure is called with a *protocol.CallError when a poll failed and the watch has ended.
@@ -165,7 +165,7 @@
 	listStarted, err := c.poll(pollCtx, cancel, address, first)
 	cancel()
 	if err != nil {
-		err = &protocol.CallError{Revision: c.revision, Took: time.Since(started), Begun: listStarted, Cause: err}
+		err = &protocol.CallError{Revision: c.revision, Duration: time.Since(started), ResponseStarted: listStarted, Err: err}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,7 +218,7 @@
 // readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
 // another reason than its revision.
 func (c *DiscoveryClient) readList(body io.Reader, full bool) (notTaken bool, err error) {
-	text, err := io.ReadAll(io.LimitReader(body, protocol.ListMost))
+	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListSize))
 	if err != nil {
 		return true, err
 	}
@@ -227,7 +227,7 @@
 		c.revision = revision
 		return false, nil
 	}
-	c.requestFull = errors.Is(err, protocol.ErrOlder)
+	c.requestFull = errors.Is(err, protocol.ErrOlderList)
 	return !c.requestFull, err
 }
 
