--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -73,8 +73,8 @@
 	}
 	lb.dequeue(request)
 	attempt := &Attempt{
-		Request:         request,
-		Endpoint:        endpoint,
+		request:         request,
+		endpoint:        endpoint,
 		number:          len(request.attempts),
 		sentAt:          now,
 		build:           endpoint.build,
@@ -108,7 +108,7 @@
 	if attempt.done {
 		return Decision{Action: ActionNone}
 	}
-	request, outcome := attempt.Request, result.Outcome
+	request, outcome := attempt.request, result.Outcome
 	lb.endAttempt(attempt, outcome, now)
 	lb.updateHealth(attempt, outcome, result.Duration, now)
 	lb.recordEvidence(attempt, outcome, result.Duration, now)
@@ -128,12 +128,12 @@
 // endAttempt takes an attempt out of those in flight.
 func (lb *Balancer) endAttempt(attempt *Attempt, outcome Outcome, now monotonic.Time) {
 	attempt.done = true
-	attempt.Request.inFlight--
+	attempt.request.inFlight--
 	lb.admission.window.AttemptFinished(now)
 	if !attempt.endpointSilent {
 		lb.admission.window.AttemptAbandoned()
 	}
-	endpoint := attempt.Endpoint
+	endpoint := attempt.endpoint
 	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(other *Attempt) bool { return other == attempt })
 	if outcome.provesNotExecuted() {
 		attempt.mayHaveExecuted = false
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -32,8 +32,8 @@
 // AttemptServed takes in that an endpoint served an attempt on a connection that was opened at a moment: it did not drain
 // when the attempt started, if the connection is old enough to prove that (see discovery.Lease).
 func (lb *Balancer) AttemptServed(attempt *Attempt, openedAt monotonic.Time) {
-	if attempt.build == attempt.Endpoint.build && lb.endpointList.lease.ProvesReady(openedAt) {
-		attempt.Endpoint.provedReadyAt = max(attempt.Endpoint.provedReadyAt, attempt.sentAt)
+	if attempt.build == attempt.endpoint.build && lb.endpointList.lease.ProvesReady(openedAt) {
+		attempt.endpoint.provedReadyAt = max(attempt.endpoint.provedReadyAt, attempt.sentAt)
 	}
 }
 
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -48,12 +48,12 @@
 
 // recordEvidence counts an attempt's outcome for or against the build of its endpoint.
 func (lb *Balancer) recordEvidence(attempt *Attempt, outcome Outcome, took time.Duration, now monotonic.Time) {
-	state, endpoint := &lb.rollout, attempt.Endpoint
+	state, endpoint := &lb.rollout, attempt.endpoint
 	if !state.judging() || attempt.sentAt < state.buildSeenAt || attempt.build != endpoint.build ||
 		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
 		return
 	}
-	counters := &endpoint.evidence.byOpType[attempt.Request.opType.index]
+	counters := &endpoint.evidence.byOpType[attempt.request.opType.index]
 	// An attempt counts at its end, by its endpoint's age then, as busy time does: what is still queued there has cost nothing.
 	if lb.isWarm(endpoint, now) {
 		counters.FinishedHalves += finishedHalves(outcome)
@@ -84,7 +84,7 @@
 // countsAsCrash tells whether a lost connection is a failure of its own. The attempts that one crash breaks are one failure,
 // and, as every gateway sees the crash, one among all gateways: a random draw decides.
 func (lb *Balancer) countsAsCrash(attempt *Attempt, took time.Duration) bool {
-	evidence := &attempt.Endpoint.evidence
+	evidence := &attempt.endpoint.evidence
 	if attempt.sentAt <= evidence.connectionsLostAt {
 		return false
 	}
--- a/decision/health.go
+++ b/decision/health.go
@@ -52,7 +52,7 @@
 
 // updateHealth takes an outcome into what is known of its endpoint, its zone and its op type.
 func (lb *Balancer) updateHealth(attempt *Attempt, outcome Outcome, duration time.Duration, now monotonic.Time) {
-	endpoint, op := attempt.Endpoint, attempt.Request.opType
+	endpoint, op := attempt.endpoint, attempt.request.opType
 	if outcome == OutcomeSuccess || outcome == OutcomeError || outcome == OutcomeRejected {
 		endpoint.lastResponseAt = now
 	}
@@ -104,13 +104,13 @@
 
 // recordFailure takes in an attempt that got no answer, or that its endpoint refused.
 func (lb *Balancer) recordFailure(attempt *Attempt, outcome Outcome, duration time.Duration, now monotonic.Time) {
-	endpoint := attempt.Endpoint
+	endpoint := attempt.endpoint
 	endpoint.limit.decrease(now)
 	if outcome == OutcomeTimeout {
 		lb.adjustConcurrencyWindow(endpoint, true)
 	}
 	if outcome == OutcomeTimeout && endpoint.lastResponseAt > attempt.sentAt {
-		attempt.Request.opType.observeLatency(float64(duration)) // the endpoint was at work, so this is its latency as well
+		attempt.request.opType.observeLatency(float64(duration)) // the endpoint was at work, so this is its latency as well
 	}
 	// The endpoint is full, drains though it is not listed so, crashed, or was silent. Every gateway sees the same crash,
 	// so a single one must not count against the build at each.
--- a/decision/idempotency.go
+++ b/decision/idempotency.go
@@ -59,6 +59,6 @@
 
 // mayRepeatLater reports whether another attempt may follow one that is canceled now, at any endpoint.
 func (lb *Balancer) mayRepeatLater(attempt *Attempt, now monotonic.Time) bool {
-	op := attempt.Request.opType
+	op := attempt.request.opType
 	return op.safeToRepeat() && (op.idempotency == Idempotent || now+lb.tick < attempt.sentAt+op.dedupWindow)
 }
--- a/decision/request.go
+++ b/decision/request.go
@@ -51,8 +51,8 @@
 
 // ResponseStarted takes in that an answer has begun to stream to the client: no other one may follow.
 func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
-	attempt.Endpoint.lastResponseAt = now
-	attempt.Request.completed = true
+	attempt.endpoint.lastResponseAt = now
+	attempt.request.completed = true
 }
 
 // ClientGone takes in that the client has left: the request needs no answer.
@@ -69,11 +69,11 @@
 
 // Attempt is one attempt of a request, from its start to its outcome.
 type Attempt struct {
-	Request  *Request
-	Endpoint *Endpoint
+	request  *Request
+	endpoint *Endpoint
+	number   int // of its request, from 0 on
+	done     bool
 
-	number          int // of its request, from 0 on
-	done            bool
 	sentAt          monotonic.Time
 	build           int // the endpoint's build, zone and cell when the attempt started
 	zone            int
@@ -85,6 +85,12 @@
 	duringWarmUp    bool // started while outcomes of its endpoint were no evidence yet
 }
 
+// Request returns the request of which this is an attempt.
+func (attempt *Attempt) Request() *Request { return attempt.request }
+
+// Endpoint returns the endpoint at which the attempt is made.
+func (attempt *Attempt) Endpoint() *Endpoint { return attempt.endpoint }
+
 // Number is the attempt's place among those of its request, from 0 on.
 func (attempt *Attempt) Number() int { return attempt.number }
 
@@ -107,7 +113,7 @@
 
 // Attempt returns the attempt with a number, or nil where the request has had no such attempt.
 func (request *Request) Attempt(number int) *Attempt {
-	if number >= len(request.attempts) {
+	if number < 0 || number >= len(request.attempts) {
 		return nil
 	}
 	return request.attempts[number]
--- a/decision/rules.go
+++ b/decision/rules.go
@@ -27,8 +27,8 @@
 // endpoint is no longer usable or runs another build, or a canary build's exposure cap has come down to 0. It guards
 // against connections that come up late; a lower cap above 0 binds the attempts that follow, with the window.
 func (lb *Balancer) AttemptAllowed(attempt *Attempt, now monotonic.Time) bool {
-	endpoint := attempt.Endpoint
-	return !attempt.Request.completed && lb.endpointUsable(endpoint, now) && endpoint.build == attempt.build &&
+	endpoint := attempt.endpoint
+	return !attempt.request.completed && lb.endpointUsable(endpoint, now) && endpoint.build == attempt.build &&
 		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.cap <= 0)
 }
 
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -85,7 +85,7 @@
 func (lb *Balancer) loadOf(endpoint *Endpoint, request *Request) float64 {
 	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, minComparableSize)
 	for _, attempt := range request.attempts {
-		if attempt.Endpoint == endpoint {
+		if attempt.endpoint == endpoint {
 			load *= retryPenalty
 		}
 	}
--- a/decision/silence.go
+++ b/decision/silence.go
@@ -20,7 +20,7 @@
 
 // overdueAt is when an attempt becomes overdue if nothing comes back from its endpoint.
 func (lb *Balancer) overdueAt(attempt *Attempt) monotonic.Time {
-	return max(attempt.sentAt, attempt.Endpoint.lastResponseAt) + time.Duration(overdueFactor*attempt.Request.opType.meanLatency)
+	return max(attempt.sentAt, attempt.endpoint.lastResponseAt) + time.Duration(overdueFactor*attempt.request.opType.meanLatency)
 }
 
 // cancelSilentAttempts has the overdue attempts at a silent endpoint canceled that can be repeated in time, so that they
@@ -63,7 +63,7 @@
 
 // mayCancel reports whether an attempt may be canceled, and another one may follow it in time.
 func (lb *Balancer) mayCancel(attempt *Attempt, now monotonic.Time) bool {
-	request := attempt.Request
+	request := attempt.request
 	return lb.mayRepeatLater(attempt, now) && lb.attemptLimits.mayCancel && !attempt.canceled && !request.completed &&
 		len(request.attempts) < lb.attemptLimits.maxAttempts && request.deadline-now > time.Duration(request.opType.meanLatency)
 }
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -55,7 +55,7 @@
 	delete(request.attempts, attempt.state)
 	r.timers.remove(attempt)
 	if utilization, ok := protocol.ParseUtilization(response.LoadReport, r.utilizationField); ok {
-		r.balancer.LoadReported(attempt.state.Endpoint, utilization, now)
+		r.balancer.LoadReported(attempt.state.Endpoint(), utilization, now)
 	}
 	outcome := response.Outcome
 	if outcome == decision.OutcomeSuccess && response.Value == nil {
@@ -66,7 +66,7 @@
 	}
 	duration := now - attempt.startedAt
 	settled := request.client == nil
-	r.requestLog.attemptFinished(request.id, r.endpoints.byDecision[attempt.state.Endpoint], outcome, duration)
+	r.requestLog.attemptFinished(request.id, r.endpoints.byDecision[attempt.state.Endpoint()], outcome, duration)
 	if outcome == decision.OutcomeSuccess && !settled {
 		r.requestLog.answered(request.id, answerServed, decision.ReasonNone)
 		request.client.Respond(response.Value)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -118,7 +118,7 @@
 		r.drivers.PollDiscovery()
 	}
 	for _, canceled := range due.CancelAttempts {
-		request := r.requests.byDecision[canceled.Request]
+		request := r.requests.byDecision[canceled.Request()]
 		if request != nil && request.attempts[canceled] != nil {
 			r.cancelAttempt(request.attempts[canceled], decision.OutcomeCanceled, now)
 		}
--- a/internal/simulatoradapter/events.go
+++ b/internal/simulatoradapter/events.go
@@ -137,7 +137,7 @@
 	if attempt == nil || attempt.Done() {
 		return nil
 	}
-	g.loadReported(attempt.Endpoint, e.loadReport, now)
+	g.loadReported(attempt.Endpoint(), e.loadReport, now)
 	g.carryOut(g.requestsByID[e.requestID], g.balancer.FinishAttempt(attempt, e.result, now))
 	return nil
 }
