--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -8,7 +8,7 @@
 	"laurelring/internal/protocol"
 )
 
-// Attempt is one sending of a request to an endpoint. It finishes once: by its outcome, by GiveUp or by Withhold.
+// Attempt is one sending of a request to an endpoint. It finishes once: by its outcome, by Cancel or by Withhold.
 type Attempt struct {
 	decidedAt  time.Time
 	deadline   time.Time
@@ -27,11 +27,11 @@
 	return &Attempt{decidedAt: time.Now(), deadline: deadline, encode: encode, onResponse: onResponse}
 }
 
-// GiveUp finishes an attempt without an outcome. The connection of one that has started is closed before GiveUp
+// Cancel finishes an attempt without an outcome. The connection of one that has started is closed before Cancel
 // returns, so that a retry elsewhere is not a second copy; that of one that has not serves another attempt. reached
 // says that the endpoint may have got the request, ended that the attempt had finished before: its outcome is on its
 // way then.
-func (a *Attempt) GiveUp() (reached, ended bool) {
+func (a *Attempt) Cancel() (reached, ended bool) {
 	a.mu.Lock()
 	connection, started, wasFinished := a.connection, a.started, a.finished
 	a.finished = true
