--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -156,11 +156,7 @@
 func (lb *Balancer) pooledCounters() rollout.Table {
 	sum := lb.rollout.evidence.own.Clone()
 	sum.Add(lb.rollout.evidence.restarted)
-	for _, report := range lb.rollout.peers.reports {
-		if report != nil && report.build == lb.rollout.build {
-			sum.Add(report.counters)
-		}
-	}
+	lb.rollout.peers.reports.AddTo(sum, lb.rollout.build)
 	return sum
 }
 
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -25,16 +25,9 @@
 	utilization       bool // the endpoint has reported its utilization
 }
 
-// peerReport is the latest evidence report of another gateway.
-type peerReport struct {
-	countedAt monotonic.Time
-	build     int
-	counters  rollout.Table
-}
-
 // peerEvidenceState is what other gateways report.
 type peerEvidenceState struct {
-	reports         []*peerReport  // by rank; nil where none has come
+	reports         rollout.PeerReports
 	reporting       int            // peers heard lately
 	underReported   bool           // they are too few to compare costs
 	underReportedAt monotonic.Time // when they last were, or when this gateway was last no voter
@@ -101,15 +94,11 @@
 		return
 	}
 	lb.recordObservations(report.Observations, now)
-	previous := peers.reports[report.Sender]
-	if previous != nil && (report.Build < previous.build || report.Build == previous.build && report.CountedAt <= previous.countedAt) {
-		return
-	}
-	current := &peerReport{countedAt: report.CountedAt, build: report.Build, counters: counters}
-	if report.Build == lb.rollout.build {
+	current := &rollout.Report{CountedAt: report.CountedAt, Build: report.Build, Counters: counters}
+	previous, accepted := peers.reports.Accept(report.Sender, current)
+	if accepted && report.Build == lb.rollout.build {
 		lb.reconcileTotals(previous, current)
 	}
-	peers.reports[report.Sender] = current
 }
 
 // recordObservations takes in what a peer saw of the endpoints.
@@ -127,33 +116,22 @@
 
 // reconcileTotals keeps the totals of a peer's earlier incarnation, and leaves a peer that is first heard of late out of the
 // comparison of costs: the busy time beside its attempts was not counted.
-func (lb *Balancer) reconcileTotals(previous, current *peerReport) {
+func (lb *Balancer) reconcileTotals(previous, current *rollout.Report) {
 	cost := &lb.rollout.cost
-	if previous != nil && previous.build == current.build {
-		if current.counters.RestartedSince(previous.counters) {
-			lb.rollout.evidence.restarted.Add(previous.counters)
+	if previous != nil && previous.Build == current.Build {
+		if current.Counters.RestartedSince(previous.Counters) {
+			lb.rollout.evidence.restarted.Add(previous.Counters)
 		}
 	} else if cost.startedLate && cost.start != nil {
-		cost.start.Add(current.counters)
-	}
-}
-
-// peersHeardSince counts the peers whose latest report was counted after a moment.
-func (lb *Balancer) peersHeardSince(after monotonic.Time) int {
-	n := 0
-	for _, report := range lb.rollout.peers.reports {
-		if report != nil && report.countedAt > after {
-			n++
-		}
+		cost.start.Add(current.Counters)
 	}
-	return n
 }
 
 // updateReporting finds out whether enough peers are heard to compare costs. Lost messages, and a restart of this gateway
 // amid a canary, leave attempts without the busy time beside them: the comparison restarts once enough are heard.
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
-	peers.reporting = lb.peersHeardSince(now - evidenceTTL)
+	peers.reporting = peers.reports.CountedSince(now - evidenceTTL)
 	peers.underReported = enoughReportingOf*peers.reporting < enoughReporting*(lb.gateways-1)
 	if peers.underReported || !isVoter {
 		peers.underReportedAt, cost.pendingFleet = now, nil // what the fleet did meanwhile is not known
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -35,6 +35,8 @@
 }
 
 func newRolloutState(config RolloutConfig, costs CostConfig, gateways int) rolloutState {
+	peerMessages := config.PeerMessages && gateways > 1
+	voters := rollout.VoterCount(gateways, max(config.PromoteVotes, config.RollbackVotes), peerMessages)
 	return rolloutState{
 		settings: rolloutSettings{
 			mode:          config.Mode,
@@ -45,10 +47,11 @@
 			answerTimeout: config.AnswerTimeout,
 			lagCost:       costs.Lag,
 			harmCost:      costs.Harm,
-			peerMessages:  config.PeerMessages && gateways > 1,
+			peerMessages:  peerMessages,
 		},
-		peers: peerEvidenceState{reports: make([]*peerReport, gateways)},
-		stage: stageState{promoteCheckAt: noCheck},
+		peers:  peerEvidenceState{reports: make(rollout.PeerReports, gateways)},
+		voters: voterState{selection: rollout.NewVoters(gateways, voters)},
+		stage:  stageState{promoteCheckAt: noCheck},
 	}
 }
 
--- /dev/null
+++ b/decision/rollout/peers_test.go
@@ -0,0 +1,83 @@
+package rollout
+
+import (
+	"testing"
+	"time"
+)
+
+// report has so many failures of the canary in the only op type.
+func report(build int, countedAt int, failures uint32) *Report {
+	counters := NewTable(1)
+	counters.At(Canary, 0).Failures = failures
+	return &Report{CountedAt: time.Duration(countedAt) * time.Second, Build: build, Counters: counters}
+}
+
+func TestOnlyTheLatestReportOfASenderCounts(t *testing.T) {
+	peers := make(PeerReports, 3)
+	for _, c := range []struct {
+		name     string
+		rank     int
+		report   *Report
+		accepted bool
+	}{
+		{"the first", 1, report(2, 5, 10), true},
+		{"one that was overtaken", 1, report(2, 4, 9), false},
+		{"one that came twice", 1, report(2, 5, 10), false},
+		{"one of an earlier build", 1, report(1, 9, 99), false},
+		{"the next", 1, report(2, 6, 11), true},
+		{"another sender's", 2, report(2, 1, 100), true},
+		{"another sender's of a later build", 0, report(3, 1, 1000), true},
+	} {
+		before := peers[c.rank]
+		if previous, accepted := peers.Accept(c.rank, c.report); accepted != c.accepted || previous != before {
+			t.Errorf("%s: accepted %t after %v, want %t after %v", c.name, accepted, previous, c.accepted, before)
+		}
+	}
+	sum := NewTable(1)
+	if peers.AddTo(sum, 2); sum.At(Canary, 0).Failures != 111 {
+		t.Errorf("pooled %d failures, want 11 and 100", sum.At(Canary, 0).Failures)
+	}
+	if n := peers.CountedSince(time.Second); n != 1 {
+		t.Errorf("%d reports counted after a second, want 1", n)
+	}
+}
+
+func TestVoterCountStaysSmall(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		gateways     int
+		required     int
+		peerMessages bool
+		want         int
+	}{
+		{"one gateway", 1, 1, false, 1},
+		{"a small fleet", 3, 1, true, 3},
+		{"one to spare beside the required votes", 10, 4, true, 5},
+		{"a large fleet follows a few", 600, 360, true, 3},
+		{"no messages", 8, 2, false, 8},
+	} {
+		if got := VoterCount(c.gateways, c.required, c.peerMessages); got != c.want {
+			t.Errorf("%s: %d voters, want %d", c.name, got, c.want)
+		}
+	}
+}
+
+func TestVotersDependOnTheBuildAlone(t *testing.T) {
+	here, there := NewVoters(60, 3), NewVoters(60, 3)
+	times := make([]int, 60)
+	for build := range 400 {
+		there.On(build + 1) // asked for another build in between
+		one, other := here.On(build), there.On(build)
+		if len(one) != 3 || one[0] != other[0] || one[1] != other[1] || one[2] != other[2] {
+			t.Fatalf("build %d: voters %v and %v", build, one, other)
+		}
+		for _, rank := range one {
+			times[rank]++
+		}
+	}
+	for rank, n := range times { // 20 in the mean
+		if n == 0 || n > 60 {
+			t.Errorf("gateway %d judges %d of 400 builds", rank, n)
+		}
+	}
+}
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -1,20 +1,14 @@
 package decision
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
 	"laurelring/decision/monotonic"
-	"laurelring/decision/seeded"
+	"laurelring/decision/rollout"
 )
 
 const (
-	// voterCount is how many gateways pool the evidence on a build, where no more votes are required.
-	voterCount = 3
-	// maxPoolingVoters is the largest number of gateways that all pool: one more than the required votes. Larger fleets follow
-	// voterCount of them.
-	maxPoolingVoters = 5
 	// voterReportInterval is how often a voter repeats its report.
 	voterReportInterval = time.Second
 	// voterReportTTL is the age from which a voter's report is not followed.
@@ -23,9 +17,8 @@
 
 // voterState is who judges a build, and what they report.
 type voterState struct {
-	ranks   []int // of the voters on the build voters were last asked for
-	build   int
-	reports []*VoterReport // the latest of each voter
+	selection rollout.Voters
+	reports   []*VoterReport // the latest of each voter
 
 	// What this gateway last reported as a voter, and when it repeats that.
 	reportedVerdict  Verdict
@@ -33,31 +26,8 @@
 	nextReportAt     monotonic.Time
 }
 
-// voters returns the ranks of the gateways that judge a build: a few, whatever the size of the fleet.
-func (lb *Balancer) voters(build int) []int {
-	settings := &lb.rollout.settings
-	n := max(voterCount, settings.promoteVotes+1, settings.rollbackVotes+1) // one may be cut off, stopped or late
-	if !settings.peerMessages {
-		n = lb.gateways
-	} else if n > maxPoolingVoters {
-		n = voterCount
-	}
-	return lb.hashedGateways(build, min(n, lb.gateways))
-}
-
-// hashedGateways returns the first n gateways in the order of their hash with the build.
-func (lb *Balancer) hashedGateways(build, n int) []int {
-	voters := &lb.rollout.voters
-	if voters.ranks == nil || voters.build != build {
-		ranks, hashes := make([]int, lb.gateways), make([]uint64, lb.gateways)
-		for rank := range ranks {
-			ranks[rank], hashes[rank] = rank, seeded.Hash(uint64(build), uint64(rank))
-		}
-		slices.SortStableFunc(ranks, func(a, b int) int { return cmp.Compare(hashes[a], hashes[b]) })
-		voters.ranks, voters.build = ranks[:n], build
-	}
-	return voters.ranks
-}
+// voters returns the ranks of the gateways that judge a build.
+func (lb *Balancer) voters(build int) []int { return lb.rollout.voters.selection.On(build) }
 
 // followedVerdict returns the voters' verdict as last reported: a rollback where one of them reports it, else a promotion
 // where one reports it of the present stage. It guards against a fleet too large for every gateway to hear all others; a
@@ -95,16 +65,17 @@
 		lb.castVote(verdict, now, due)
 	}
 	if isVoter {
-		lb.reportVerdict(build, verdict, now, due)
+		lb.reportVerdict(build, verdict, len(voters) < lb.gateways, now, due)
 	}
 }
 
-// reportVerdict reports a voter's verdict and outliers to all other gateways: when they change, and again at intervals.
-func (lb *Balancer) reportVerdict(build int, verdict Verdict, now monotonic.Time, due *DueWork) {
+// reportVerdict reports a voter's verdict and outliers to all other gateways, if there are any that follow it: when they
+// change, and again at intervals.
+func (lb *Balancer) reportVerdict(build int, verdict Verdict, followed bool, now monotonic.Time, due *DueWork) {
 	voters := &lb.rollout.voters
 	outliers := lb.detectOutliers(now)
 	unchanged := verdict == voters.reportedVerdict && len(outliers) == voters.reportedOutliers && now < voters.nextReportAt
-	if len(voters.ranks) >= lb.gateways || unchanged {
+	if !followed || unchanged {
 		return
 	}
 	voters.reportedVerdict, voters.reportedOutliers, voters.nextReportAt = verdict, len(outliers), now+voterReportInterval
