--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// countsAsCrash tells whether a lost connection is a failure of its own. The attempts that one crash breaks are one failure,
+// countsAsCrash reports whether a lost connection is a failure of its own. The attempts that one crash breaks are one failure,
 // and, as every gateway sees the crash, one among all gateways: a random draw decides.
 func (lb *Balancer) countsAsCrash(attempt *Attempt, took time.Duration) bool {
 	evidence := &attempt.Endpoint.evidence
@@ -99,7 +99,7 @@
 	}
 }
 
-// isWarm tells whether an endpoint is old enough for its busy time and finished attempts to be compared.
+// isWarm reports whether an endpoint is old enough for its busy time and finished attempts to be compared.
 func (lb *Balancer) isWarm(endpoint *Endpoint, now monotonic.Time) bool {
 	return endpoint.ready && now-endpoint.startedAt > max(evidenceWarmUp, lb.slowStart.warmUp)
 }
@@ -191,7 +191,7 @@
 	return n
 }
 
-// baselineRemains tells whether enough of the ready endpoints run an earlier build.
+// baselineRemains reports whether enough of the ready endpoints run an earlier build.
 func (lb *Balancer) baselineRemains() bool {
 	baseline, all := 0, 0
 	for _, endpoint := range lb.endpoints {
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// reconcileTotals keeps the totals of a peer's earlier incarnation, and leaves a peer that is first heard of late out of the
-// comparison of costs: the busy time beside its attempts was not counted.
+// reconcileTotals keeps the totals of a peer's earlier incarnation. It leaves those of a peer whose first report comes late out
+// of the comparison of costs: the busy time beside its attempts was not counted.
 func (lb *Balancer) reconcileTotals(previous, current *rollout.Report) {
 	cost := &lb.rollout.cost
 	if previous != nil && previous.Build == current.Build {
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -47,7 +47,7 @@
 }
 
 // learnFleetCost learns what a request costs the fleet while no endpoint runs the build under judgement, and compares what it
-// costs after that. mature tells whether most baseline endpoints are past their slow start: a fleet that has just been
+// costs after that. mature reports whether most baseline endpoints are past their slow start: a fleet that has just been
 // replaced works off a backlog. Only voters hear enough gateways to learn anything.
 func (lb *Balancer) learnFleetCost(mature bool, now monotonic.Time) {
 	state, cost := &lb.rollout, &lb.rollout.cost
--- /dev/null
+++ b/decision/rollbackcase_test.go
@@ -0,0 +1,46 @@
+package decision
+
+import (
+	"testing"
+	"time"
+
+	"laurelring/decision/rollout"
+)
+
+func TestRollbackCaseStands(t *testing.T) {
+	clean := rollout.Evidence{}
+	weak := rollout.Evidence{All: 2}              // above the level at which a timer holds, below the threshold
+	byFailures := rollout.Evidence{All: 4}        // above the threshold
+	byCost := rollout.Evidence{All: 4, Cost: 3.5} // without any failure as well
+	type look struct {
+		after           time.Duration
+		evidence        rollout.Evidence
+		baselineRemains bool
+		stands          bool
+	}
+	for _, c := range []struct {
+		name  string
+		mode  PromotionMode
+		looks []look
+	}{
+		{"at once while the baseline remains", PromoteByQuorum, []look{{0, clean, true, false}, {s, weak, true, false}, {2 * s, byFailures, true, true}}},
+		{"by failures alone after a while", PromoteByQuorum, []look{
+			{0, clean, false, false}, {s - ms, byFailures, false, false}, {s, byFailures, false, true}}},
+		{"not where it was clear in between", PromoteByQuorum, []look{
+			{0, clean, false, false}, {s / 2, byFailures, false, false}, {s, weak, false, false}, {2*s - ms, byFailures, false, false}}},
+		{"by cost at once", PromoteByQuorum, []look{{0, clean, false, false}, {ms, byCost, false, true}}},
+		{"for good where votes promote", PromoteByQuorum, []look{{0, byFailures, true, true}, {s, clean, true, true}}},
+		{"until far below where a timer promotes", PromoteByTimer, []look{
+			{0, byFailures, true, true}, {s, weak, true, true}, {2 * s, clean, true, false}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var one rollbackCase
+			for i, at := range c.looks {
+				one.update(at.evidence, at.baselineRemains, c.mode, 1000*s+at.after)
+				if one.stands != at.stands {
+					t.Errorf("look %d: stands is %v, want %v", i, one.stands, at.stands)
+				}
+			}
+		})
+	}
+}
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// judging tells whether a build is under judgement: evidence for and against it is counted.
+// judging reports whether a build is under judgement, and evidence on it is counted.
 func (r *rolloutState) judging() bool { return r.evidence.own != nil }
 
 // startStage begins a stage or a phase of the newest build.
--- a/decision/rollout/case.go
+++ b/decision/rollout/case.go
@@ -11,7 +11,7 @@
 	minHarmCost = 1e-9
 	// costMargin is how many times what a request costs the baseline, or cost the fleet before, a good build may need.
 	costMargin = 1.2
-	// singleEndpointCostMargin is a further margin, shared by the canary endpoints: a single one may be a slow machine.
+	// singleEndpointCostMargin is a further margin, shared by the canary endpoints: a single one may be slow by itself.
 	singleEndpointCostMargin = 0.4
 )
 
@@ -29,7 +29,7 @@
 	CostStart Table
 	// FailureMargin is the share of attempts that a canary may fail beyond the baseline's rate.
 	FailureMargin float64
-	// BusyTime stands beside the attempts finished since CostStart. CostComparable tells whether enough is known of both
+	// BusyTime stands beside the attempts finished since CostStart. CostComparable reports whether enough is known of both
 	// sides to compare the cost of their requests.
 	BusyTime       BusyTime
 	CostComparable bool
--- a/decision/rollout/counters.go
+++ b/decision/rollout/counters.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// RestartedSince tells whether running totals fell since an earlier table of the same sender: it has restarted. Attempts and
+// RestartedSince reports whether running totals fell since an earlier table of the same sender: it has restarted. Attempts and
 // failures may fall without that, as an endpoint is found to be an outlier and left out; finished attempts never do.
 func (t Table) RestartedSince(earlier Table) bool {
 	for i, counters := range t {
@@ -80,7 +80,7 @@
 	return numbers
 }
 
-// Decode reads what Encode laid out. It returns false where the length is not that of a table for so many op types.
+// Decode reads what Encode laid out. It returns false where the length is not that of a table for this number of op types.
 func Decode(numbers []uint32, opTypes int) (Table, bool) {
 	if len(numbers) != WireLength(opTypes) {
 		return nil, false
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"laurelring/decision/monotonic"
-	"laurelring/decision/sequentialtest"
 )
 
 const (
@@ -22,10 +21,6 @@
 	stageListedTimeout = 12 * time.Second
 	// stageShareTolerance keeps rounding errors in a stage's share from asking for one endpoint more.
 	stageShareTolerance = 0.01
-	// rollbackCaseHold is how long a case by failures must stand once few baseline endpoints remain.
-	rollbackCaseHold = time.Second
-	// timerHoldLevel: where a timer promotes, a rollback is voted as long as the evidence stays above this.
-	timerHoldLevel = 4.0
 
 	// lostAnswerGrace is how long after its timeout an unanswered vote blocks the next.
 	lostAnswerGrace = time.Second
@@ -39,7 +34,7 @@
 
 // stageState is what is known of the present stage.
 type stageState struct {
-	startedAt      monotonic.Time // when this gateway first heard of it, less its age then
+	startedAt      monotonic.Time // when this gateway was notified of it, less its age then
 	listed         bool           // all of its endpoints are or were listed
 	promoteCheckAt monotonic.Time // when the wait before a promotion is over; noCheck where none is awaited
 }
@@ -47,12 +42,6 @@
 // noCheck is a moment that never comes.
 const noCheck = monotonic.Time(math.MaxInt64)
 
-// rollbackCase is whether the evidence has rejected the build.
-type rollbackCase struct {
-	stands  bool
-	clearAt monotonic.Time // when the evidence was last below the threshold
-}
-
 // voteState is this gateway's last vote.
 type voteState struct {
 	last     Vote
@@ -76,7 +65,7 @@
 		// at once.
 		blind = true
 	}
-	lb.updateRollbackCase(now)
+	state.rollback.update(lb.evidence(), lb.baselineRemains(), state.settings.mode, now)
 	if state.rollback.stands {
 		return VerdictRollBack
 	}
@@ -86,23 +75,6 @@
 	return lb.promotionVerdict(blind, now)
 }
 
-// updateRollbackCase weighs the evidence again. Once few baseline endpoints remain, a case by failures must stand a while: it
-// guards against endpoints that begin to fail after a release, until they are found to be outliers, and harms where a build
-// does so.
-func (lb *Balancer) updateRollbackCase(now monotonic.Time) {
-	state, threshold := &lb.rollout, sequentialtest.LogThreshold()
-	evidence := lb.evidence()
-	if evidence.All >= threshold {
-		state.rollback.stands = state.rollback.stands || lb.baselineRemains() || evidence.Cost >= threshold ||
-			now-state.rollback.clearAt >= rollbackCaseHold
-		return
-	}
-	state.rollback.clearAt = now
-	if state.settings.mode == PromoteByTimer && evidence.All < math.Log(timerHoldLevel) {
-		state.rollback.stands = false
-	}
-}
-
 // promotionVerdict promotes the build once the stage's endpoints have run for a while. A blind gateway lacks the others'
 // evidence: it promotes later, and not at all where a bad build costs far more than a wait. A bad build may come further than
 // it would with messages.
@@ -162,7 +134,7 @@
 	state.vote = voteState{last: vote, castAt: now, inFlight: true, nextAt: now + state.settings.answerTimeout}
 }
 
-// isDue tells whether a vote is to be cast: not while the one before is unanswered, and not while it says the same and stands.
+// isDue reports whether a vote is to be cast: not while the one before is unanswered, and not while it says the same and stands.
 func (v *voteState) isDue(vote Vote, answerTimeout time.Duration, now monotonic.Time) bool {
 	if vote.Verdict == VerdictNone && v.last.Verdict == VerdictNone {
 		return false
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -31,7 +31,7 @@
 
 // followedVerdict returns the voters' verdict as last reported: a rollback where one of them reports it, else a promotion
 // where one reports it of the present stage. It guards against a fleet too large for every gateway to hear all others; a
-// faulty voter would take the fleet with it. It also tells whether any voter is heard.
+// faulty voter would take the fleet with it. It also reports whether any voter is heard.
 func (lb *Balancer) followedVerdict(now monotonic.Time) (verdict Verdict, heard bool) {
 	for _, report := range lb.rollout.voters.reports {
 		if report.Build != lb.canary.build || now-report.receivedAt > voterReportTTL {
