--- a/internal/transport/client_connection.go
+++ b/internal/transport/client_connection.go
@@ -18,7 +18,7 @@
 
 	// Only the goroutine that reads the connection touches these.
 	buffer       *protocol.Buffer
-	framing      protocol.RequestScanner
+	scanner      protocol.RequestScanner
 	handedOver   bool      // redcon has read handoverCommand
 	partialSince time.Time // since when an incomplete request has been in the buffer; zero if there is none
 	framingLost  bool      // no further request can be read
--- a/internal/transport/client_reader.go
+++ b/internal/transport/client_reader.go
@@ -74,7 +74,7 @@
 
 // parseBuffered takes the next complete request off the buffer.
 func (c *clientConnection) parseBuffered() (redcon.Command, error) {
-	size, tooLarge, err := c.framing.Next(c.buffer)
+	size, tooLarge, err := c.scanner.Next(c.buffer)
 	switch {
 	case err != nil:
 		c.framingLost = true
@@ -110,7 +110,7 @@
 // is closed here. It returns false if an incomplete request has timed out.
 func (c *clientConnection) setReadDeadline() bool {
 	now := time.Now()
-	if len(c.buffer.Bytes()) > 0 || c.framing.Started() {
+	if len(c.buffer.Bytes()) > 0 || c.scanner.Started() {
 		return c.setPartialDeadline(now)
 	}
 	c.mu.Lock()
--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -19,6 +19,13 @@
 	malformedRequestDelay = 100 * time.Millisecond
 )
 
+// The commands that clients send.
+const (
+	commandRead  = "API.READ"
+	commandWrite = "API.WRITE"
+	commandPing  = "PING"
+)
+
 // clientSession serves one connection with two goroutines: its reader passes requests on and sees the client
 // disconnect; its writer, from the first request on, writes the responses in the order of the requests.
 type clientSession struct {
@@ -112,7 +119,7 @@
 // has no time left: it gets its final response without an attempt.
 func (s *ClientServer) dispatch(command redcon.Command, response *PendingResponse, hasDescriptor bool) error {
 	switch string(command.Args[0]) {
-	case "API.READ", "API.WRITE":
+	case commandRead, commandWrite:
 		request, err := protocol.ParseRequest(command.Args, s.opTypes)
 		if err != nil {
 			return err
@@ -122,7 +129,7 @@
 		}
 		request.Remaining = min(request.Remaining, s.maxRemaining)
 		s.onRequest(request, response)
-	case "PING":
+	case commandPing:
 		response.complete(redcon.AppendString(nil, "PONG"))
 	default:
 		return errUnknownCommand
--- a/internal/transport/endpoint_connection.go
+++ b/internal/transport/endpoint_connection.go
@@ -122,11 +122,11 @@
 
 // readUntilUnusable returns why the connection can't be used any longer.
 func (c *endpointConnection) readUntilUnusable() (reason string) {
-	buffer, reply := protocol.NewBuffer(protocol.MaxResponseSize), protocol.ResponseReader{}
+	buffer, reader := protocol.NewBuffer(protocol.MaxResponseSize), protocol.ResponseReader{}
 	for {
 		n, attempt, err := c.receive(buffer.Space())
 		buffer.Commit(n)
-		if n > 0 && !c.handleBytes(attempt, buffer, &reply) {
+		if n > 0 && !c.handleBytes(attempt, buffer, &reader) {
 			return "unexpected bytes"
 		}
 		if isTimeout(err) {
@@ -163,12 +163,12 @@
 }
 
 // handleBytes parses what has arrived for an attempt, and reports whether the connection is still of use.
-func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reply *protocol.ResponseReader) bool {
+func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reader *protocol.ResponseReader) bool {
 	if attempt == nil {
 		c.pool.log.Warn("unexpected bytes from endpoint", "address", c.address)
 		return false
 	}
-	response, complete, err := reply.Next(buffer)
+	response, complete, err := reader.Next(buffer)
 	if err != nil {
 		c.pool.log.Warn("malformed response from endpoint", "address", c.address)
 		// The request may have run, and the endpoint is there.
