--- /dev/null
+++ b/internal/tuftest/fault.go
@@ -0,0 +1,133 @@
+package tuftest
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Fault responds to a request in place of a mirror. Contents are those of the requested file, nil where there is none.
+// It returns false to let the mirror respond.
+type Fault func(response http.ResponseWriter, request *http.Request, name string, contents []byte) bool
+
+// OnlyFor returns a fault for the files alone whose names end in a suffix.
+func OnlyFor(suffix string, fault Fault) Fault {
+	return func(response http.ResponseWriter, request *http.Request, name string, contents []byte) bool {
+		return strings.HasSuffix(name, suffix) && fault(response, request, name, contents)
+	}
+}
+
+// rangeStart returns the offset at which a request's range starts, 0 without a range.
+func rangeStart(request *http.Request, size int) int {
+	text := strings.TrimSuffix(strings.TrimPrefix(request.Header.Get("Range"), "bytes="), "-")
+	start, err := strconv.Atoi(text)
+	if err != nil {
+		return 0
+	}
+	return min(start, size)
+}
+
+// sendPart sends a header that promises the rest of the file, and a part of that.
+func sendPart(response http.ResponseWriter, request *http.Request, contents []byte, part int) {
+	start := rangeStart(request, len(contents))
+	response.Header().Set("Content-Length", strconv.Itoa(len(contents)-start))
+	if start > 0 {
+		response.Header().Set("Content-Range", fmt.Sprintf("bytes %d-%d/%d", start, len(contents)-1, len(contents)))
+		response.WriteHeader(http.StatusPartialContent)
+	}
+	response.Write(contents[start:min(len(contents), start+part)])
+	response.(http.Flusher).Flush()
+}
+
+// StallAfter returns a fault that sends so many bytes, and then nothing while it keeps the connection open.
+func StallAfter(bytes int) Fault {
+	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
+		if contents == nil {
+			return false
+		}
+		sendPart(response, request, contents, bytes)
+		<-request.Context().Done()
+		return true
+	}
+}
+
+// Drip returns a fault that sends one byte an interval.
+func Drip(interval time.Duration) Fault {
+	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
+		if contents == nil {
+			return false
+		}
+		sendPart(response, request, contents, 0)
+		for _, b := range contents {
+			select {
+			case <-request.Context().Done():
+				return true
+			case <-time.After(interval):
+			}
+			response.Write([]byte{b})
+			response.(http.Flusher).Flush()
+		}
+		return true
+	}
+}
+
+// CloseAfter returns a fault that closes the connection after so many bytes of the promised ones.
+func CloseAfter(bytes int) Fault {
+	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
+		if contents == nil {
+			return false
+		}
+		sendPart(response, request, contents, bytes)
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// Endless is a fault that sends the file and then bytes without end, without a length.
+func Endless(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
+	if contents == nil {
+		return false
+	}
+	response.Write(contents)
+	for chunk := bytes.Repeat([]byte(" "), 8<<10); request.Context().Err() == nil; {
+		if _, err := response.Write(chunk); err != nil {
+			break
+		}
+	}
+	return true
+}
+
+// RedirectTo returns a fault that redirects to the same file below another URL.
+func RedirectTo(url string) Fault {
+	return func(response http.ResponseWriter, request *http.Request, name string, _ []byte) bool {
+		http.Redirect(response, request, url+name, http.StatusFound)
+		return true
+	}
+}
+
+// RespondWith returns a fault that sends other contents, whatever was requested.
+func RespondWith(other []byte) Fault {
+	return func(response http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
+		response.Write(other)
+		return true
+	}
+}
+
+// Corrupt is a fault that flips a bit in the middle of the file.
+func Corrupt(response http.ResponseWriter, _ *http.Request, _ string, contents []byte) bool {
+	if contents == nil {
+		return false
+	}
+	corrupted := bytes.Clone(contents)
+	corrupted[len(corrupted)/2] ^= 1
+	response.Write(corrupted)
+	return true
+}
+
+// FailRequest is a fault that responds with an internal server error.
+func FailRequest(response http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
+	response.WriteHeader(http.StatusInternalServerError)
+	return true
+}
--- a/internal/tuftest/repository.go
+++ b/internal/tuftest/repository.go
@@ -1,5 +1,5 @@
-// Package tuftest is our stand-in for the release desk: a repository of metadata and targets whose keys are made as it
-// starts, and mirrors of it on loopback with planted faults. It serves the tests and nothing else.
+// Package tuftest provides a repository of signed metadata and targets, whose keys are generated at run time, and mirrors
+// of it on loopback whose faults a test can set. It serves tests alone, and panics where signing fails.
 package tuftest
 
 import (
@@ -10,19 +10,21 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/sigstore/sigstore/pkg/signature"
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Key signs for a role.
+// Key is a key pair of a role.
 type Key struct {
 	signer signature.Signer
 	public *metadata.Key
 }
 
-// NewKey makes a key.
+// NewKey generates an Ed25519 key pair.
 func NewKey() *Key {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	must(err)
@@ -39,23 +41,31 @@
 	}
 }
 
-// Repository is what the release desk has signed. Files holds all that a mirror could serve, by name.
+// Repository signs metadata and holds every file that a mirror could serve. Tests may alter its metadata and files to
+// publish what an honest repository would not. It is not safe for concurrent use.
 type Repository struct {
-	Files      map[string][]byte
+	Files      map[string][]byte // by name
 	Keys       map[string][]*Key // by role
 	Root       *metadata.Metadata[metadata.RootType]
 	Timestamp  *metadata.Metadata[metadata.TimestampType]
 	Snapshot   *metadata.Metadata[metadata.SnapshotType]
 	Targets    map[string]*metadata.Metadata[metadata.TargetsType]
-	Validity   time.Duration // how long what is signed from here on lasts
+	Validity   time.Duration // of metadata signed from now on
 	Now        func() time.Time
 	consistent bool
 }
 
-// New makes a repository with a root of two keys, both needed, and one key for each other role.
+// NewRepository returns a repository that has published a first version. The root has two keys and a threshold of two,
+// each other role one key. Consistent says whether it uses consistent snapshots.
 func NewRepository(consistent bool, now func() time.Time) *Repository {
-	r := &Repository{Files: map[string][]byte{}, Keys: map[string][]*Key{}, Validity: time.Hour, Now: now, consistent: consistent,
-		Targets: map[string]*metadata.Metadata[metadata.TargetsType]{}}
+	r := &Repository{
+		Files:      map[string][]byte{},
+		Keys:       map[string][]*Key{},
+		Targets:    map[string]*metadata.Metadata[metadata.TargetsType]{},
+		Validity:   time.Hour,
+		Now:        now,
+		consistent: consistent,
+	}
 	r.Root = metadata.Root(r.Expiry())
 	r.Root.Signed.ConsistentSnapshot = consistent
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
@@ -72,10 +82,10 @@
 	return r
 }
 
-// Until is when what is signed now expires.
+// Expiry returns when metadata expire that are signed now.
 func (r *Repository) Expiry() time.Time { return r.Now().Add(r.Validity).UTC().Truncate(time.Second) }
 
-// AddKey gives a role one more key; what it signs changes with the next signing.
+// AddKey gives a role one more key, effective with the next signing.
 func (r *Repository) AddKey(role string) *Key {
 	key := NewKey()
 	r.Keys[role] = append(r.Keys[role], key)
@@ -83,7 +93,7 @@
 	return key
 }
 
-// Replace gives a role a new key in the place of all it had.
+// ReplaceKeys gives a role one new key in place of all that it had.
 func (r *Repository) ReplaceKeys(role string) {
 	for _, key := range r.Keys[role] {
 		id, err := key.public.ID()
@@ -94,141 +104,134 @@
 	r.AddKey(role)
 }
 
-// SignRoot signs the root as it is by these keys and files it as its version.
-func (r *Repository) SignRoot(by []*Key) {
+// SignRoot signs the current root with keys and publishes it as its version.
+func (r *Repository) SignRoot(keys []*Key) {
 	r.Root.Signed.Expires = r.Expiry()
-	r.Files[fmt.Sprintf("%d.root.json", r.Root.Signed.Version)] = sign(r.Root, by)
+	r.Files[fmt.Sprintf("%d.root.json", r.Root.Signed.Version)] = Sign(r.Root, keys...)
 }
 
-// NextRoot files a root of the next version, signed by the keys of before and of now.
+// PublishRoot publishes a root of the next version with a change, signed by the previous and the new root keys.
 func (r *Repository) PublishRoot(change func()) {
-	before := r.Keys[metadata.ROOT]
-	by := append([]*Key(nil), before...)
+	previous := r.Keys[metadata.ROOT]
+	signers := slices.Clone(previous)
 	r.Root.Signed.Version++
 	change()
 	for _, key := range r.Keys[metadata.ROOT] {
-		known := false
-		for _, had := range before {
-			known = known || had == key
-		}
-		if !known {
-			by = append(by, key)
+		if !slices.Contains(previous, key) {
+			signers = append(signers, key)
 		}
 	}
-	r.SignRoot(by)
+	r.SignRoot(signers)
 }
 
-// FirstRoot is what an operator is handed.
+// InitialRoot returns the first root, which an operator would be given out of band.
 func (r *Repository) InitialRoot() []byte { return r.Files["1.root.json"] }
 
-func sign[T metadata.Roles](one *metadata.Metadata[T], by []*Key) []byte {
-	one.ClearSignatures()
-	for _, key := range by {
-		_, err := one.Sign(key.signer)
+// Sign signs any metadata with keys, also ones that an honest repository would not use.
+func Sign[T metadata.Roles](unsigned *metadata.Metadata[T], keys ...*Key) []byte {
+	unsigned.ClearSignatures()
+	for _, key := range keys {
+		_, err := unsigned.Sign(key.signer)
 		must(err)
 	}
-	text, err := one.ToBytes(false)
+	contents, err := unsigned.ToBytes(false)
 	must(err)
-	return text
+	return contents
 }
 
-// Sign signs any metadata by keys: for what no honest desk would.
-func Sign[T metadata.Roles](one *metadata.Metadata[T], by ...*Key) []byte { return sign(one, by) }
-
-// Put lists a target in a role; blocks, where given, has it tell the hash of each so many bytes.
-func (r *Repository) AddTarget(role, path string, data []byte, block int) {
-	file, err := metadata.TargetFile().FromBytes(path, data, "sha256")
+// AddTarget lists a target in a role. A block size above 0 makes the role list the hash of each block as well.
+func (r *Repository) AddTarget(role, path string, contents []byte, blockSize int) {
+	file, err := metadata.TargetFile().FromBytes(path, contents, "sha256")
 	must(err)
-	if block > 0 {
-		var blocks struct {
-			Blocks struct {
-				Size   int      `json:"size"`
-				Sha256 []string `json:"sha256"`
-			} `json:"blocks"`
-		}
-		blocks.Blocks.Size = block
-		for from := 0; from < len(data); from += block {
-			sum := sha256.Sum256(data[from:min(from+block, len(data))])
-			blocks.Blocks.Sha256 = append(blocks.Blocks.Sha256, fmt.Sprintf("%x", sum))
-		}
-		text, err := json.Marshal(blocks)
-		must(err)
-		raw := json.RawMessage(text)
-		file.Custom = &raw
+	if blockSize > 0 {
+		custom := listBlocks(contents, blockSize)
+		file.Custom = &custom
 	}
 	r.Targets[role].Signed.Targets[path] = file
 	name := path
 	if r.consistent {
-		at := 0
-		for i := range path {
-			if path[i] == '/' {
-				at = i + 1
-			}
-		}
-		name = fmt.Sprintf("%s%x.%s", path[:at], []byte(file.Hashes["sha256"]), path[at:])
+		base := strings.LastIndexByte(path, '/') + 1
+		name = fmt.Sprintf("%s%x.%s", path[:base], []byte(file.Hashes["sha256"]), path[base:])
+	}
+	r.Files["targets/"+name] = contents
+}
+
+// listBlocks returns the custom field of a target with the hashes of its blocks.
+func listBlocks(contents []byte, blockSize int) json.RawMessage {
+	var custom struct {
+		Blocks struct {
+			Size   int      `json:"size"`
+			Sha256 []string `json:"sha256"`
+		} `json:"blocks"`
+	}
+	custom.Blocks.Size = blockSize
+	for block := range slices.Chunk(contents, blockSize) {
+		custom.Blocks.Sha256 = append(custom.Blocks.Sha256, fmt.Sprintf("%x", sha256.Sum256(block)))
 	}
-	r.Files["targets/"+name] = data
+	encoded, err := json.Marshal(custom)
+	must(err)
+	return encoded
 }
 
-// Delegate has a role hand paths on to another, with a key of its own.
+// Delegate makes a role delegate paths to another role, which gets a key of its own.
 func (r *Repository) Delegate(from, to string, terminating bool, paths ...string) {
 	if r.Keys[to] == nil {
 		r.Keys[to] = []*Key{NewKey()}
 		r.Targets[to] = metadata.Targets(r.Expiry())
 		r.Targets[to].Signed.Version = 0
 	}
-	one := &r.Targets[from].Signed
-	if one.Delegations == nil {
-		one.Delegations = &metadata.Delegations{Keys: map[string]*metadata.Key{}}
+	delegator := &r.Targets[from].Signed
+	if delegator.Delegations == nil {
+		delegator.Delegations = &metadata.Delegations{Keys: map[string]*metadata.Key{}}
 	}
 	key := r.Keys[to][0].public
 	id, err := key.ID()
 	must(err)
-	one.Delegations.Keys[id] = key
-	one.Delegations.Roles = append(one.Delegations.Roles, metadata.DelegatedRole{Name: to, KeyIDs: []string{id}, Threshold: 1,
+	delegator.Delegations.Keys[id] = key
+	delegator.Delegations.Roles = append(delegator.Delegations.Roles, metadata.DelegatedRole{Name: to, KeyIDs: []string{id}, Threshold: 1,
 		Terminating: terminating, Paths: paths})
 }
 
-// Publish signs targets, snapshot and timestamp of the next version.
+// Publish signs the next version of all targets roles, the snapshot and the timestamp.
 func (r *Repository) Publish() {
-	for role, one := range r.Targets {
-		one.Signed.Version++
-		one.Signed.Expires = r.Expiry()
-		text := sign(one, r.Keys[role])
-		r.Snapshot.Signed.Meta[role+".json"] = metaOf(one.Signed.Version, text)
-		r.addFile(role, one.Signed.Version, text)
+	for role, targets := range r.Targets {
+		targets.Signed.Version++
+		targets.Signed.Expires = r.Expiry()
+		contents := Sign(targets, r.Keys[role]...)
+		r.Snapshot.Signed.Meta[role+".json"] = fileInfo(targets.Signed.Version, contents)
+		r.addFile(role, targets.Signed.Version, contents)
 	}
 	r.Snapshot.Signed.Version++
 	r.Snapshot.Signed.Expires = r.Expiry()
-	r.PutSnapshot(sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]))
+	r.PutSnapshot(Sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]...))
 }
 
-// PutSnapshot files a snapshot's bytes and has the next timestamp name them.
-func (r *Repository) PutSnapshot(text []byte) {
-	r.addFile(metadata.SNAPSHOT, r.Snapshot.Signed.Version, text)
-	r.Timestamp.Signed.Meta["snapshot.json"] = metaOf(r.Snapshot.Signed.Version, text)
+// PutSnapshot publishes a snapshot's contents and a timestamp that lists them.
+func (r *Repository) PutSnapshot(contents []byte) {
+	r.addFile(metadata.SNAPSHOT, r.Snapshot.Signed.Version, contents)
+	r.Timestamp.Signed.Meta["snapshot.json"] = fileInfo(r.Snapshot.Signed.Version, contents)
 	r.PublishTimestamp()
 }
 
-// Stamp signs the next timestamp.
+// PublishTimestamp signs the next version of the timestamp.
 func (r *Repository) PublishTimestamp() {
 	r.Timestamp.Signed.Version++
 	r.Timestamp.Signed.Expires = r.Expiry()
-	r.Files["timestamp.json"] = sign(r.Timestamp, r.Keys[metadata.TIMESTAMP])
+	r.Files["timestamp.json"] = Sign(r.Timestamp, r.Keys[metadata.TIMESTAMP]...)
 }
 
-func (r *Repository) addFile(role string, version int64, text []byte) {
+func (r *Repository) addFile(role string, version int64, contents []byte) {
 	if r.consistent {
-		r.Files[fmt.Sprintf("%d.%s.json", version, role)] = text
+		r.Files[fmt.Sprintf("%d.%s.json", version, role)] = contents
 	} else {
-		r.Files[role+".json"] = text
+		r.Files[role+".json"] = contents
 	}
 }
 
-func metaOf(version int64, text []byte) *metadata.MetaFiles {
-	sum := sha256.Sum256(text)
-	return &metadata.MetaFiles{Length: int64(len(text)), Version: version, Hashes: metadata.Hashes{"sha256": sum[:]}}
+func fileInfo(version int64, contents []byte) *metadata.MetaFiles {
+	digest := sha256.Sum256(contents)
+	return &metadata.MetaFiles{Length: int64(len(contents)), Version: version, Hashes: metadata.Hashes{"sha256": digest[:]}}
 }
 
-// Copy is all files as they are now.
+// CopyFiles returns the files as they are now.
 func (r *Repository) CopyFiles() map[string][]byte { return maps.Clone(r.Files) }
