--- /dev/null
+++ b/cmd/gatewayctl/session.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"context"
+	"errors"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"laurelring/internal/store"
+	"laurelring/internal/tuf"
+	"laurelring/internal/tuf/tufmetrics"
+	"laurelring/internal/verifiedmetadata"
+)
+
+// session is one command on an open client.
+type session struct {
+	line     *commandLine
+	config   *tuf.OperatorConfig
+	client   *tuf.Client
+	store    *store.Store
+	registry *prometheus.Registry
+	output   output
+	now      func() int64
+}
+
+// openSession opens the client and the store that the operator's file describes. The caller closes the session.
+func openSession(line *commandLine, output output, now func() int64) (*session, error) {
+	config, err := tuf.LoadOperatorConfig(line.Tuf.File)
+	if err != nil {
+		return nil, &exitError{status: exitUsage, err: err}
+	}
+	registry := prometheus.NewRegistry()
+	client, opened, err := config.NewClient(uint64(now()), now, tufmetrics.New(registry))
+	if err != nil {
+		var verification *verifiedmetadata.VerificationError
+		if errors.As(err, &verification) {
+			return nil, verificationError(verification)
+		}
+		return nil, &exitError{status: exitStore, err: err}
+	}
+	return &session{line, config, client, opened, registry, output, now}, nil
+}
+
+// close closes the client and the store, and writes the metrics where a file is set. It returns the first error.
+func (s *session) close() error {
+	var firstErr error
+	s.client.Close()
+	if err := s.store.Close(); err != nil {
+		firstErr = &exitError{status: exitStore, err: err}
+	}
+	if s.line.Tuf.Metrics == "" {
+		return firstErr
+	}
+	s.client.Status() // sets the gauges
+	if err := prometheus.WriteToTextfile(s.line.Tuf.Metrics, s.registry); err != nil && firstErr == nil {
+		firstErr = &exitError{status: exitUsage, err: err}
+	}
+	return firstErr
+}
+
+func (s *session) runCommand(ctx context.Context, command string) error {
+	switch command {
+	case commandRefresh:
+		return s.refresh(ctx)
+	case commandFetch:
+		return s.fetch(ctx, s.line.Tuf.Fetch.Name)
+	case commandStatus:
+		status := s.client.Status()
+		return s.output.print(statusResult{OK: true, Status: status, now: s.now})
+	}
+	return s.verify(s.line.Tuf.Verify.Name)
+}
+
+func (s *session) refresh(ctx context.Context) error {
+	usage, err := s.client.Refresh(ctx, s.config.RefreshWithin())
+	if err != nil {
+		return verificationError(err)
+	}
+	return s.output.print(refreshResult{OK: true, Roles: s.client.Status().Roles, Usage: usage})
+}
+
+func (s *session) fetch(ctx context.Context, path string) error {
+	if err := s.ensureValid(ctx); err != nil {
+		return err
+	}
+	target, usage, err := s.client.FetchTarget(ctx, path, s.config.FetchWithin())
+	if err != nil {
+		return verificationError(err)
+	}
+	return s.output.print(fetchResult{Length: target.Length, OK: true, Role: target.Role, Usage: usage, Target: target.Path})
+}
+
+// ensureValid refreshes where the stored metadata are not valid now. Without a folder each call has to.
+func (s *session) ensureValid(ctx context.Context) error {
+	if !s.store.InMemory() && s.client.Status().Trust == tuf.StatusTrusted {
+		return nil
+	}
+	if _, err := s.client.Refresh(ctx, s.config.RefreshWithin()); err != nil {
+		return verificationError(err)
+	}
+	return nil
+}
+
+// verify compares one fetched target, or all of them, with what is listed now. The error is that of the last one that
+// differs.
+func (s *session) verify(path string) error {
+	paths := []string{path}
+	if path == "" {
+		paths = s.store.TargetPaths()
+	}
+	var lastErr error
+	targets := map[string]string{}
+	for _, path := range paths {
+		targets[path] = "trusted"
+		if err := s.client.VerifyTarget(path); err != nil {
+			targets[path], lastErr = err.Error(), err
+		}
+	}
+	if err := s.output.print(verifyResult{OK: lastErr == nil, Targets: targets, paths: paths}); err != nil {
+		return err
+	}
+	if lastErr != nil {
+		return &exitError{status: exitNotTrusted, err: lastErr}
+	}
+	return nil
+}
