--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -56,40 +56,25 @@
 // run is one gateway from its configuration until it has ended as it was asked to. It reads the configuration
 // anew each time it is asked again.
 func run(text []byte, reread func() ([]byte, error), ended, again <-chan os.Signal) error {
-	l, err := protocol.ReadLaunch(text)
+	configuration, err := protocol.ParseGatewayConfiguration(text)
 	if err != nil {
 		return err
 	}
-	name, listen, discoveryAt, deskAt := l.Name(), l.Listen(), l.Discovery(), l.Desk()
-	seed, known, news := l.Seed(), l.Known(), l.News()
-	cores, memory, descriptors := l.Limits()
-	peersAt, each, all := l.Peers()
-	if l.Err() != nil {
-		return l.Err()
-	}
-	f, err := protocol.ReadSettings(l.Settings())
+	settings, err := protocol.ParseGatewaySettings(configuration.Settings)
 	if err != nil {
 		return err
 	}
-	config := f.BalancerConfig(seed)
-	asked := f.Asked()
-	zones, models := f.Zones(), f.Models()
-	busy, _ := f.Busy()
-	mustAsk := f.MustAsk()
-	connectWithin, idleFor := f.ConnectWithin(), f.IdleFor()
-	voteWithin, askWithin, longest := f.VoteWithin(), f.AskWithin(), f.Longest()
-	if f.Err() != nil {
-		return f.Err()
-	}
+	seed, limits, peerAddresses := configuration.Seed, configuration.Limits, configuration.Peers
+	config := settings.BalancerConfig(seed)
 	gateway, err := decision.New(config)
 	if err != nil {
 		return err
 	}
 	named := map[string]*decision.OpType{}
-	for i, one := range asked {
+	for i, one := range settings.RequestNames {
 		named[one] = gateway.OpTypes()[i]
 	}
-	startList, err := protocol.ReadList(known, zones, models)
+	startList, err := protocol.ParseEndpointList(configuration.EndpointList, settings.Zones, settings.MachineTypes)
 	if err != nil {
 		return fmt.Errorf(`field "known": %w`, err)
 	}
@@ -98,27 +83,27 @@
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", name)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("gateway", configuration.Name)
 	slog.SetDefault(log)
-	runtime.GOMAXPROCS(int(math.Ceil(cores)))
-	debug.SetMemoryLimit(int64(memoryShare * float64(memory)))
+	runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(limits.MemoryBytes)))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 
 	begun := time.Now()
 	clock := func() monotonic.Time { return time.Duration(begun.UnixNano()) + time.Since(begun) }
-	budget := transport.NewDescriptorBudget(descriptors)
+	budget := transport.NewDescriptorBudget(limits.Descriptors)
 	complaints, lots := &transport.RateLimitedLog{}, seededrand.New(seed)
 	endpoints, err := transport.NewEndpointPool(transport.EndpointPoolConfig{
-		Budget: budget, Log: complaints, ConnectTimeout: connectWithin, IdleTimeout: idleFor / 2})
+		Budget: budget, Log: complaints, ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.IdleTimeout / 2})
 	if err != nil {
 		return err
 	}
 	post := func(int, []byte) {}
 	var r *routing.Router
 	var peers *transport.PeerSocket
-	if peersAt != "" {
-		if peers, err = transport.NewPeerSocket(peersAt, each, all); err != nil {
+	if peerAddresses.Listen != "" {
+		if peers, err = transport.NewPeerSocket(peerAddresses.Listen, peerAddresses.Each, peerAddresses.Broadcast); err != nil {
 			return err
 		}
 		defer peers.Close()
@@ -147,8 +132,8 @@
 	var discovery *transport.DiscoveryClient
 	var rolloutClient *transport.RolloutClient
 	var exchange *gossip.Exchange
-	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		exchange = gossip.NewExchange(gossip.Config{Rank: rank, Gateways: many, Revision: startList.Revision,
+	if peers != nil && config.Rollout.PeerMessages && config.Gateways > 1 {
+		exchange = gossip.NewExchange(gossip.Config{Rank: config.Rank, Gateways: config.Gateways, Revision: startList.Revision,
 			Random: seededrand.New(seed).Int64N}, clock())
 	}
 	drivers := routing.Drivers{
@@ -161,13 +146,13 @@
 		PollDiscovery:        func() { discovery.StartWatch(ctx) },
 		VerifyBuild:          build,
 	}
-	r, err = routing.New(routing.Config{Balancer: gateway, UtilizationField: busy, Clock: clock, Drivers: drivers,
+	r, err = routing.New(routing.Config{Balancer: gateway, UtilizationField: settings.UtilizationField, Clock: clock, Drivers: drivers,
 		Gossip: exchange})
 	if err != nil {
 		return err
 	}
 	rolloutClient, err = transport.NewRolloutClient(transport.RolloutClientConfig{
-		Address: deskAt, VoteTimeout: voteWithin, Random: lots, OnStatus: r.RolloutStatusReceived, OnVoteResult: r.VoteAnswered,
+		Address: configuration.RolloutController, VoteTimeout: settings.VoteTimeout, Random: lots, OnStatus: r.RolloutStatusReceived, OnVoteResult: r.VoteAnswered,
 		OnConnected: func(address string) { log.Info("rollout controller connected", "address", address) },
 		OnDisconnected: func(address string, err error) {
 			log.Warn("rollout controller disconnected", "address", address, "error", err)
@@ -177,16 +162,16 @@
 		return err
 	}
 	gateway.StartLease(clock())
-	status, err := protocol.ParseRolloutStatus(news)
+	status, err := protocol.ParseRolloutStatus(configuration.RolloutStatus)
 	if err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
 	}
 	r.RolloutStatusReceived(status)
 	discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
-		Address: discoveryAt, MaxWait: askWithin, Revision: startList.Revision, Random: lots,
+		Address: configuration.Discovery, MaxWait: settings.PollInterval, Revision: startList.Revision, Random: lots,
 		OnListStart: r.DiscoveryResponseStarted,
 		OnList: func(text []byte, full bool) (int64, error) {
-			list, err := protocol.ReadList(text, zones, models)
+			list, err := protocol.ParseEndpointList(text, settings.Zones, settings.MachineTypes)
 			if err != nil {
 				return 0, err
 			}
@@ -197,14 +182,15 @@
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", listen)
+	ln, err := net.Listen("tcp", configuration.Listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
 	clients, err := transport.NewClientServer(transport.ClientServerConfig{
-		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(memory)), MaxRemaining: longest,
-		OpTypes: named,
+		Budget: budget, Log: complaints, MaxRequestBytes: int64(handShare * float64(limits.MemoryBytes)),
+		MaxRemaining: settings.MaxClientTimeout,
+		OpTypes:      named,
 		OnRequest: func(request protocol.Request, response *transport.PendingResponse) {
 			r.RequestArrived(request, response)
 		},
@@ -223,7 +209,7 @@
 		go func() { defer close(background); agent.Run(ctx) }()
 		defer func() { stop(); <-background }()
 	}
-	if !mustAsk {
+	if !config.PollDiscovery {
 		go discovery.KeepWatching(ctx)
 	}
 	if peers != nil {
@@ -231,21 +217,21 @@
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- clients.Serve(ln) }()
-	log.Info("serving", "address", listen, "memory", memory, "descriptors", descriptors)
+	log.Info("serving", "address", configuration.Listen, "memory", limits.MemoryBytes, "descriptors", limits.Descriptors)
 	var rested chan int
 	for {
 		select {
 		case err := <-failed:
 			return err
 		case <-again: // while ending too: the list and the platform may move then as at any time
-			if listAt, votesAt, err := addresses(reread); err != nil {
+			if moved, err := addresses(reread); err != nil {
 				log.Error("the configuration stays as it was", "cause", err)
 			} else {
-				log.Info("the configuration is read again", "discovery", listAt, "platform", votesAt)
-				if discovery.SetAddress(listAt) {
+				log.Info("the configuration is read again", "discovery", moved.Discovery, "platform", moved.RolloutController)
+				if discovery.SetAddress(moved.Discovery) {
 					r.DiscoveryMoved()
 				}
-				rolloutClient.SetAddress(votesAt)
+				rolloutClient.SetAddress(moved.RolloutController)
 			}
 			if agent != nil {
 				if err := agent.Reload(trustFile); err != nil {
@@ -258,7 +244,7 @@
 			}
 			log.Info("ending", "signal", got.String())
 			rested = make(chan int, 1)
-			answered := min(longest, killedAfter) - killMargin
+			answered := min(settings.MaxClientTimeout, killedAfter) - killMargin
 			r.ShutdownWithin(servesOn + answered)
 			go func() {
 				time.Sleep(servesOn)
@@ -288,15 +274,10 @@
 }
 
 // addresses reads what a configuration that is read again may change: where the list and the platform are.
-func addresses(reread func() ([]byte, error)) (discovery, desk string, err error) {
+func addresses(reread func() ([]byte, error)) (protocol.Addresses, error) {
 	text, err := reread()
 	if err != nil {
-		return "", "", err
-	}
-	l, err := protocol.ReadLaunch(text)
-	if err != nil {
-		return "", "", err
+		return protocol.Addresses{}, err
 	}
-	discovery, desk = l.Discovery(), l.Desk()
-	return discovery, desk, l.Err()
+	return protocol.ParseAddresses(text)
 }
--- /dev/null
+++ b/internal/protocol/settings.go
@@ -0,0 +1,236 @@
+package protocol
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"laurelring/decision"
+)
+
+// Settings are what every gateway is given at its start, on sockets and in the simulator.
+type Settings struct {
+	balancer decision.Config // without its seed
+
+	// UtilizationField names the field of a load report that holds an endpoint's utilization, "" where there is none.
+	UtilizationField string
+	// UtilizationIndex is its position among the fields of a load report, -1 where there is none.
+	UtilizationIndex int
+}
+
+// BalancerConfig returns the configuration of a balancer whose random draws come from a seed.
+func (s *Settings) BalancerConfig(seed uint64) decision.Config {
+	config := s.balancer
+	config.Seed = seed
+	return config
+}
+
+// GatewaySettings are the settings of a gateway on sockets, which needs more of them than the simulator.
+type GatewaySettings struct {
+	Settings
+	RequestNames     []string // by which ParseRequest finds the op types, in their order
+	Zones            []string
+	MachineTypes     []string
+	ConnectTimeout   time.Duration // of a connection to an endpoint
+	IdleTimeout      time.Duration // after which an endpoint closes an idle connection
+	VoteTimeout      time.Duration // of a call to the rollout controller
+	PollInterval     time.Duration // the longest time between two calls to discovery
+	MaxClientTimeout time.Duration // of all op types
+}
+
+// ParseSettings reads and validates the settings. The error is a *FieldError where a field is at fault.
+func ParseSettings(text []byte) (*Settings, error) {
+	r, err := newSettingsReader(text)
+	if err != nil {
+		return nil, err
+	}
+	settings := &Settings{balancer: r.balancerConfig()}
+	settings.UtilizationField, settings.UtilizationIndex = r.utilization()
+	if r.err != nil {
+		return nil, r.err
+	}
+	return settings, nil
+}
+
+// ParseGatewaySettings reads and validates the settings of a gateway on sockets. The error is a *FieldError where a
+// field is at fault.
+func ParseGatewaySettings(text []byte) (*GatewaySettings, error) {
+	r, err := newSettingsReader(text)
+	if err != nil {
+		return nil, err
+	}
+	settings := &GatewaySettings{Settings: Settings{balancer: r.balancerConfig()}}
+	settings.RequestNames = r.requestNames()
+	settings.Zones = r.texts("areas")
+	settings.MachineTypes = r.texts("host_types")
+	settings.UtilizationField, settings.UtilizationIndex = r.utilization()
+	settings.ConnectTimeout = r.duration("limits.connect_timeout_ms")
+	settings.IdleTimeout = r.duration("limits.idle_close_ms")
+	settings.VoteTimeout = r.duration("family_info.api_timeout_ms")
+	settings.PollInterval = r.duration("invariants.ask_within_ms")
+	for _, opType := range settings.balancer.OpTypes {
+		settings.MaxClientTimeout = max(settings.MaxClientTimeout, opType.ClientTimeout)
+	}
+	if r.err != nil {
+		return nil, r.err
+	}
+	return settings, nil
+}
+
+// settingsReader reads the settings in a fixed order, so that of several faults the same is always named.
+type settingsReader struct{ fieldReader }
+
+func newSettingsReader(text []byte) (*settingsReader, error) {
+	if !gjson.ValidBytes(text) {
+		return nil, errors.New("settings are not JSON")
+	}
+	root := gjson.ParseBytes(text)
+	if !root.IsObject() {
+		return nil, errors.New("settings are not a JSON object")
+	}
+	return &settingsReader{fieldReader{root: root, kind: "setting"}}, nil
+}
+
+func (r *settingsReader) balancerConfig() decision.Config {
+	config := decision.Config{
+		Rank:     r.integer("rank"),
+		Gateways: r.integer("balancers"),
+		Zone:     r.integer("locality"),
+		Tick:     r.duration("period_ms"),
+	}
+	for i, lane := range r.list("lanes") {
+		config.OpTypes = append(config.OpTypes, r.opType(i, lane))
+	}
+	for _, org := range r.list("orgs") {
+		quota := r.get(org, "quota_rps", gjson.Number).Num
+		config.Tenants = append(config.Tenants, decision.TenantConfig{QuotaRate: quota})
+	}
+	config.Attempts = r.attempts()
+	config.Costs = decision.CostConfig{
+		CrossZone: r.number("prices.cross_zone"),
+		Lag:       r.number("family_info.lag_fee"),
+		Harm:      r.number("family_info.damage_price"),
+	}
+	config.SlowStart = decision.SlowStartConfig{
+		InitialCapacity:  r.number("invariants.cold_from"),
+		WarmUp:           r.duration("invariants.cold_ms"),
+		OverloadMultiple: r.number("invariants.fall_multiple"),
+		OverloadSpan:     r.duration("invariants.fall_ms"),
+	}
+	config.PollDiscovery = r.text("registry_mode") == "ask"
+	config.Exposure = r.exposure()
+	config.Rollout = r.rollout()
+	return config
+}
+
+func (r *settingsReader) opType(index int, lane gjson.Result) decision.OpTypeConfig {
+	idempotency, knownIdempotency := parseIdempotency(r.get(lane, "repeat", gjson.String).Str)
+	scope, knownScope := parseDeduplicationScope(lane.Get("dedup_scope").Str)
+	if !knownIdempotency || !knownScope {
+		r.fail(fmt.Sprintf("lanes.%d", index), "has an unknown kind or group")
+	}
+	return decision.OpTypeConfig{
+		LatencyObjective: durationFromMs(r.get(lane, "aim_ms", gjson.Number).Num),
+		ObjectiveStretch: lane.Get("aim_stretch").Num,
+		ClientTimeout:    durationFromMs(r.get(lane, "give_up_ms", gjson.Number).Num),
+		PriorityWeight:   r.get(lane, "gain", gjson.Number).Num,
+		LateValueShare:   lane.Get("late_worth").Num,
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      durationFromMs(lane.Get("window_ms").Num),
+	}
+}
+
+func (r *settingsReader) attempts() decision.AttemptConfig {
+	config := decision.AttemptConfig{
+		Max:       r.integer("limits.max_attempts"),
+		MayCancel: r.boolean("limits.may_cancel"),
+	}
+	sent := r.boolean("limits.retry_after")
+	longest := r.duration("limits.max_retry_after_ms")
+	if sent {
+		config.MaxRetryAfter = longest
+	}
+	return config
+}
+
+func (r *settingsReader) exposure() decision.ExposureConfig {
+	return decision.ExposureConfig{
+		Window:       r.duration("family_info.window_ms"),
+		Allowance:    r.number("family_info.allowance"),
+		PerOpType:    r.text("family_info.per") == "class",
+		ClosedStages: r.integer("family_info.closed_stages"),
+		StickyKeys:   r.boolean("family_info.one_way"),
+		StageCaps:    r.numbers("family_info.exposure_caps"),
+	}
+}
+
+func (r *settingsReader) rollout() decision.RolloutConfig {
+	mode, known := parsePromotionMode(r.text("family_info.decided_by"))
+	if !known {
+		r.fail("family_info.decided_by", "names no known way")
+	}
+	return decision.RolloutConfig{
+		Mode:          mode,
+		PromoteVotes:  r.integer("family_info.ayes_needed"),
+		RollbackVotes: r.integer("family_info.votes_to_revert"),
+		StageShares:   r.numbers("family_info.steps"),
+		VoteTTL:       r.duration("family_info.vote_ttl_ms"),
+		AnswerTimeout: r.duration("family_info.api_timeout_ms"),
+		PeerMessages:  r.boolean("limits.peer_messages"),
+	}
+}
+
+// requestNames returns the name of each op type on the wire: idempotent ones are read, the others written.
+func (r *settingsReader) requestNames() []string {
+	var names []string
+	for _, lane := range r.list("lanes") {
+		command := commandWrite
+		if kind, _ := parseIdempotency(lane.Get("repeat").Str); kind == decision.Idempotent {
+			command = commandRead
+		}
+		names = append(names, requestName(command, r.get(lane, "name", gjson.String).Str))
+	}
+	return names
+}
+
+func (r *settingsReader) utilization() (field string, index int) {
+	for i, field := range r.texts("feedback.fields") {
+		if field == "utilization" {
+			return field, i
+		}
+	}
+	return "", -1
+}
+
+func parseIdempotency(text string) (idempotency decision.Idempotency, known bool) {
+	switch text {
+	case "repeatable":
+		return decision.Idempotent, true
+	case "by_key":
+		return decision.IdempotentByKey, true
+	}
+	return decision.NonIdempotent, text == "once"
+}
+
+func parseDeduplicationScope(text string) (scope decision.DeduplicationScope, known bool) {
+	switch text {
+	case "zone":
+		return decision.ScopeZone, true
+	case "cell":
+		return decision.ScopeCell, true
+	}
+	return decision.ScopeAll, text == "" || text == "all"
+}
+
+func parsePromotionMode(text string) (mode decision.PromotionMode, known bool) {
+	switch text {
+	case "any":
+		return decision.PromoteByAnyVote, true
+	case "share":
+		return decision.PromoteByQuorum, true
+	}
+	return decision.PromoteByTimer, text == "timer"
+}
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -32,14 +32,14 @@
 
 // EndpointListUpdate is an answer of discovery, or the endpoint list that the gateway starts with.
 type EndpointListUpdate struct {
-	List   *protocol.List
+	List   *protocol.EndpointList
 	Cached bool // the list that the gateway starts with, which no discovery has confirmed
 	// Full is set where discovery was asked without a revision. The answer may then be of an older revision than the
 	// one held, as discovery may have returned with an earlier state.
 	Full bool
 }
 
-// EndpointListReceived posts an endpoint list and waits until it is processed. It returns protocol.ErrOlder where the
+// EndpointListReceived posts an endpoint list and waits until it is processed. It returns protocol.ErrOlderList where the
 // list is older than the one held.
 func (r *Router) EndpointListReceived(update EndpointListUpdate) error {
 	processed := make(chan error, 1)
@@ -51,8 +51,8 @@
 // drains, unless discovery was asked without a revision and gave a complete list.
 func (r *Router) applyEndpointList(update EndpointListUpdate, now monotonic.Time) error {
 	list := update.List
-	if list.Revision < r.list.revision && !(update.Full && list.Whole) {
-		return protocol.ErrOlder
+	if list.Revision < r.list.revision && !(update.Full && list.Complete) {
+		return protocol.ErrOlderList
 	}
 	r.list.revision = list.Revision
 	current := update.Cached || r.list.exchange == nil ||
@@ -72,20 +72,20 @@
 }
 
 // applyMembers updates the endpoints that a list names, and removes the others where it is complete.
-func (r *Router) applyMembers(list *protocol.List, now monotonic.Time) {
+func (r *Router) applyMembers(list *protocol.EndpointList, now monotonic.Time) {
 	named := map[*decision.Endpoint]bool{}
-	for _, member := range list.Members {
+	for _, member := range list.Entries {
 		record := r.endpoints.record(member.ID)
 		named[record.endpoint] = true
 		r.applyMember(record, member, now)
 	}
-	if list.Whole {
+	if list.Complete {
 		r.retainOnly(named, now)
 	}
 }
 
 // applyMember updates an endpoint by its entry in the list.
-func (r *Router) applyMember(record *endpointRecord, member protocol.Member, now monotonic.Time) {
+func (r *Router) applyMember(record *endpointRecord, member protocol.EndpointEntry, now monotonic.Time) {
 	address := record.listed.Address
 	moved := address != "" && address != member.Address
 	if moved || !member.Present {
@@ -130,7 +130,7 @@
 		slog.Warn("endpoint list watch failed", "error", err, "revision", r.list.revision,
 			"failures", r.list.failures, "unconfirmed_for", r.list.unconfirmedFor(now))
 		var call *protocol.CallError
-		if errors.As(err, &call) && call.Begun {
+		if errors.As(err, &call) && call.ResponseStarted {
 			r.balancer.DiscoveryResponseBroken(now)
 		}
 		if r.list.exchange != nil {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -16,9 +16,9 @@
 // endpointRecord is what the router knows of an endpoint that has been listed.
 type endpointRecord struct {
 	endpoint  *decision.Endpoint
-	hash      uint32          // of its id, in messages between gateways
-	listed    protocol.Member // as discovery last listed it
-	removedAt monotonic.Time  // when it was no longer listed; 0 while it is
+	hash      uint32                 // of its id, in messages between gateways
+	listed    protocol.EndpointEntry // as discovery last listed it
+	removedAt monotonic.Time         // when it was no longer listed; 0 while it is
 
 	incarnation  uint32
 	downRevision int64 // the newest revision by which it was draining or removed
@@ -36,7 +36,7 @@
 		Present:     listed.Present,
 		Build:       listed.Build,
 		Zone:        listed.Zone,
-		MachineType: listed.Model,
+		MachineType: listed.MachineType,
 		Cell:        listed.Cell,
 		Size:        listed.Size,
 		StartedAt:   listed.StartedAt,
@@ -44,7 +44,7 @@
 }
 
 // list takes in an entry of the endpoint list of a revision.
-func (record *endpointRecord) list(member protocol.Member, revision int64, now monotonic.Time) {
+func (record *endpointRecord) list(member protocol.EndpointEntry, revision int64, now monotonic.Time) {
 	// What was draining or removed by a newer list stays so until it is restarted or discovery has counted beyond.
 	sameIncarnation := record.listed.StartedAt == member.StartedAt && record.listed.Build == member.Build
 	if member.Ready && record.downRevision > revision && sameIncarnation {
@@ -89,7 +89,7 @@
 func (t *endpointTable) record(id string) *endpointRecord {
 	record := t.byID[id]
 	if record == nil {
-		record = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.Member{ID: id}}
+		record = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.EndpointEntry{ID: id}}
 		t.byID[id] = record
 		t.byDecision[record.endpoint] = record
 		t.byHash[record.hash] = record.endpoint
--- a/internal/transport/controller_connection.go
+++ b/internal/transport/controller_connection.go
@@ -31,7 +31,7 @@
 	conn     net.Conn
 	listenID int                  // of the call to listen
 	lastLine time.Time            // when a line arrived last
-	pending  []pendingVote        // the one cast first in front
+	pending  []pendingVote        // in the order in which they were cast
 	votes    <-chan decision.Vote // nil once the address has changed
 	closeAt  time.Time            // set once the address has changed
 }
@@ -88,7 +88,7 @@
 func (c *controllerConnection) listen() error {
 	c.client.lastCallID++
 	c.listenID = c.client.lastCallID
-	if _, err := c.conn.Write(protocol.Listen(c.listenID)); err != nil {
+	if _, err := c.conn.Write(protocol.EncodeListen(c.listenID)); err != nil {
 		return err
 	}
 	c.lastLine = time.Now()
@@ -131,7 +131,7 @@
 func (c *controllerConnection) cast(vote decision.Vote) error {
 	timeout := c.client.config.VoteTimeout
 	c.client.lastCallID++
-	text := protocol.Ballot(c.client.lastCallID, vote)
+	text := protocol.EncodeVote(c.client.lastCallID, vote)
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
 	if n, err := c.conn.Write(text); n < len(text) {
 		c.client.config.OnVoteResult(decision.OutcomeConnectFailed)
@@ -159,12 +159,12 @@
 
 // readLines passes complete lines on until the connection ends, a line is not complete in time, or done is closed.
 func readLines(conn net.Conn, lines chan<- []byte, broken chan<- error, done <-chan struct{}) {
-	buffer := protocol.NewBuffer(protocol.LineMost)
+	buffer := protocol.NewBuffer(protocol.MaxLineSize)
 	for {
-		n, err := conn.Read(buffer.Room())
-		buffer.Add(n)
+		n, err := conn.Read(buffer.Space())
+		buffer.Commit(n)
 		for {
-			line, lineErr := protocol.Line(buffer)
+			line, lineErr := protocol.NextLine(buffer)
 			if lineErr != nil {
 				err = lineErr
 			}
--- a/internal/transport/peer_socket.go
+++ b/internal/transport/peer_socket.go
@@ -53,7 +53,7 @@
 // Send sends a datagram to the gateway of a number, or to all where the number is below 0. It does not
 // wait. A datagram that is too long, or for a number of no gateway, is dropped.
 func (p *PeerSocket) Send(number int, payload []byte) {
-	if len(payload) > protocol.DatagramMost || number >= len(p.peers) {
+	if len(payload) > protocol.MaxDatagramSize || number >= len(p.peers) {
 		return
 	}
 	receivers := p.peers
@@ -80,7 +80,7 @@
 	for i, address := range p.peers {
 		numbers[address] = i
 	}
-	buffer := make([]byte, protocol.DatagramMost+1) // one byte more, to see that a datagram is too long
+	buffer := make([]byte, protocol.MaxDatagramSize+1) // one byte more, to see that a datagram is too long
 	for {
 		n, sender, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -92,7 +92,7 @@
 			continue
 		}
 		number, known := numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
-		if !known || n > protocol.DatagramMost {
+		if !known || n > protocol.MaxDatagramSize {
 			log.Warn("peer datagram rejected", "peer", sender)
 			continue
 		}
