--- /dev/null
+++ b/cmd/gateway/build.go
@@ -0,0 +1,261 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"laurelring/decision"
+	"laurelring/decision/gossip"
+	"laurelring/decision/monotonic"
+	"laurelring/internal/protocol"
+	"laurelring/internal/routing"
+	"laurelring/internal/seededrand"
+	"laurelring/internal/transport"
+	"laurelring/internal/tuf"
+)
+
+// gateway is the parts of one gateway.
+type gateway struct {
+	configuration *configuration
+	log           *slog.Logger
+
+	// What the parts share.
+	clock      func() monotonic.Time
+	random     *seededrand.Source // spreads polls and reconnects of a fleet
+	budget     *transport.DescriptorBudget
+	limitedLog *transport.RateLimitedLog
+
+	router    *routing.Router
+	endpoints *transport.EndpointPool
+	clients   *transport.ClientServer
+	listener  net.Listener // of clients
+	discovery *transport.DiscoveryClient
+	rollout   *transport.RolloutClient
+	peers     *transport.PeerSocket // nil where gateways have no addresses for messages
+	agent     *tuf.Agent            // nil without an operator's file for signed metadata
+
+	clientsFailed chan error // the error that ends the listener
+	closers       []func()   // what close has to call, the last first
+}
+
+// newGateway builds the parts and opens their sockets. Nothing runs yet.
+func newGateway(ctx context.Context, c *configuration, log *slog.Logger) (*gateway, error) {
+	g := &gateway{
+		configuration: c,
+		log:           log,
+		clock:         newClock(),
+		random:        seededrand.New(c.file.Seed),
+		budget:        transport.NewDescriptorBudget(c.file.Limits.Descriptors),
+		limitedLog:    &transport.RateLimitedLog{},
+		clientsFailed: make(chan error, 1),
+	}
+	if err := g.build(ctx); err != nil {
+		g.close()
+		return nil, err
+	}
+	return g, nil
+}
+
+// newClock gives the gateway's monotonic clock: it begins at the time of day and does not follow changes of that.
+func newClock() func() monotonic.Time {
+	started := time.Now()
+	return func() monotonic.Time { return time.Duration(started.UnixNano()) + time.Since(started) }
+}
+
+// build makes the parts in the order in which they need one another.
+func (g *gateway) build(ctx context.Context) error {
+	if err := g.buildEndpointPool(); err != nil {
+		return err
+	}
+	if err := g.openPeerSocket(); err != nil {
+		return err
+	}
+	verifyBuild, err := g.buildMetadataAgent()
+	if err != nil {
+		return err
+	}
+	if err := g.buildRouter(ctx, verifyBuild); err != nil {
+		return err
+	}
+	if err := g.buildRolloutClient(); err != nil {
+		return err
+	}
+	g.configuration.balancer.StartLease(g.clock())
+	status, err := protocol.ParseRolloutStatus(g.configuration.file.RolloutStatus)
+	if err != nil {
+		return fmt.Errorf(`field "pipeline.news": %w`, err)
+	}
+	g.router.RolloutStatusReceived(status)
+	if err := g.buildDiscoveryClient(); err != nil {
+		return err
+	}
+	return g.buildClientServer()
+}
+
+func (g *gateway) buildEndpointPool() (err error) {
+	g.endpoints, err = transport.NewEndpointPool(transport.EndpointPoolConfig{
+		Budget:         g.budget,
+		Log:            g.limitedLog,
+		ConnectTimeout: g.configuration.settings.ConnectTimeout,
+		IdleTimeout:    g.configuration.settings.IdleTimeout / 2, // before the endpoint closes the connection
+	})
+	return err
+}
+
+func (g *gateway) openPeerSocket() error {
+	addresses := g.configuration.file.Peers
+	if addresses.Listen == "" {
+		return nil
+	}
+	peers, err := transport.NewPeerSocket(addresses.Listen, addresses.Each, addresses.Broadcast)
+	if err != nil {
+		return err
+	}
+	g.peers = peers
+	g.onClose(peers.Close)
+	return nil
+}
+
+// buildMetadataAgent makes the agent that keeps signed metadata fresh where there is an operator's file, and gives the
+// driver that verifies builds, nil where builds are not verified.
+func (g *gateway) buildMetadataAgent() (verifyBuild func(build int), err error) {
+	if g.configuration.operatorFile == "" {
+		return nil, nil
+	}
+	operator, err := tuf.LoadOperatorConfig(g.configuration.operatorFile)
+	if err != nil {
+		return nil, err
+	}
+	seed := g.configuration.file.Seed
+	client, store, err := operator.NewClient(seed, func() int64 { return time.Now().UnixNano() }, nil)
+	if err != nil {
+		return nil, err
+	}
+	g.onClose(func() { store.Close() })
+	g.onClose(func() { client.Close() })
+	g.agent = tuf.NewAgent(operator, client, seed,
+		func() bool { return g.router.HasQueuedRequests() },
+		func(build int, verified bool) { g.router.BuildVerified(build, verified) })
+	if operator.BuildTarget == "" {
+		return nil, nil
+	}
+	g.configuration.balancer.RequireVerifiedBuilds()
+	return g.agent.CheckBuild, nil
+}
+
+// buildRouter makes the router. Its drivers use clients that are built after it: it calls them once it runs.
+func (g *gateway) buildRouter(ctx context.Context, verifyBuild func(build int)) (err error) {
+	sendDatagram := func(int, []byte) {}
+	if g.peers != nil {
+		sendDatagram = g.peers.Send
+	}
+	g.router, err = routing.New(routing.Config{
+		Balancer:         g.configuration.balancer,
+		UtilizationField: g.configuration.settings.UtilizationField,
+		Clock:            g.clock,
+		Gossip:           g.newGossipExchange(),
+		Drivers: routing.Drivers{
+			StartAttempt: func(attempt routing.AttemptRequest) routing.AttemptHandle {
+				return g.endpoints.Send(attempt.Address, attempt.Deadline, attempt.Encode, attempt.Finished)
+			},
+			CloseIdleConnections: g.endpoints.CloseIdleTo,
+			SendDatagram:         sendDatagram,
+			CastVote:             func(vote decision.Vote) { g.rollout.Vote(vote) },
+			PollDiscovery:        func() { g.discovery.StartWatch(ctx) },
+			VerifyBuild:          verifyBuild,
+		},
+	})
+	return err
+}
+
+// newGossipExchange makes the exchange of views of the endpoint list, nil where there is nobody to exchange them with.
+func (g *gateway) newGossipExchange() *gossip.Exchange {
+	c := g.configuration
+	if !c.exchangesMessages() {
+		return nil
+	}
+	return gossip.NewExchange(gossip.Config{
+		Rank:     c.decisions.Rank,
+		Gateways: c.decisions.Gateways,
+		Revision: c.endpointList.Revision,
+		Random:   seededrand.New(c.file.Seed).Int64N,
+	}, g.clock())
+}
+
+func (g *gateway) buildRolloutClient() (err error) {
+	g.rollout, err = transport.NewRolloutClient(transport.RolloutClientConfig{
+		Address:      g.configuration.file.RolloutController,
+		VoteTimeout:  g.configuration.settings.VoteTimeout,
+		Random:       g.random,
+		OnStatus:     g.router.RolloutStatusReceived,
+		OnVoteResult: g.router.VoteAnswered,
+		OnConnected: func(address string) {
+			g.log.Info("rollout controller connected", "address", address)
+		},
+		OnDisconnected: func(address string, err error) {
+			g.log.Warn("rollout controller disconnected", "address", address, "error", err)
+		},
+	})
+	return err
+}
+
+func (g *gateway) buildDiscoveryClient() (err error) {
+	g.discovery, err = transport.NewDiscoveryClient(transport.DiscoveryClientConfig{
+		Address:     g.configuration.file.Discovery,
+		MaxWait:     g.configuration.settings.PollInterval,
+		Revision:    g.configuration.endpointList.Revision,
+		Random:      g.random,
+		OnListStart: g.router.DiscoveryResponseStarted,
+		OnList:      g.receiveEndpointList,
+		OnFailure:   g.router.DiscoveryFailed,
+	})
+	return err
+}
+
+// receiveEndpointList passes a list of discovery on to the router and gives its revision. A full list was asked for
+// from no revision on.
+func (g *gateway) receiveEndpointList(text []byte, full bool) (revision int64, err error) {
+	list, err := g.configuration.parseEndpointList(text)
+	if err != nil {
+		return 0, err
+	}
+	return list.Revision, g.router.EndpointListReceived(routing.EndpointListUpdate{List: list, Full: full})
+}
+
+// buildClientServer opens the listener: clients may connect from here on, and are served once the gateway has started.
+func (g *gateway) buildClientServer() error {
+	listener, err := net.Listen("tcp", g.configuration.file.Listen)
+	if err != nil {
+		return err
+	}
+	g.listener = listener
+	g.onClose(func() { listener.Close() })
+	g.clients, err = transport.NewClientServer(transport.ClientServerConfig{
+		Budget:          g.budget,
+		Log:             g.limitedLog,
+		MaxRequestBytes: g.configuration.maxRequestBytes(),
+		MaxRemaining:    g.configuration.settings.MaxClientTimeout,
+		OpTypes:         g.configuration.opTypes,
+		OnRequest: func(request protocol.Request, response *transport.PendingResponse) {
+			g.router.RequestArrived(request, response)
+		},
+		OnDisconnect: func(response *transport.PendingResponse) { g.router.ClientDisconnected(response) },
+	})
+	return err
+}
+
+// onClose has close call a function, before those that it was given earlier.
+func (g *gateway) onClose(closer func()) { g.closers = append(g.closers, closer) }
+
+// close closes what was opened, the last first.
+func (g *gateway) close() {
+	for len(g.closers) > 0 {
+		last := len(g.closers) - 1
+		closer := g.closers[last]
+		g.closers = g.closers[:last]
+		closer()
+	}
+}
--- a/cmd/gateway/reload_test.go
+++ b/cmd/gateway/reload_test.go
@@ -3,12 +3,14 @@
 import (
 	"bufio"
 	"net"
+	"os"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"laurelring/internal/gatewaytest"
+	"laurelring/internal/protocol"
 )
 
 // SIGHUP: discovery and the rollout controller are where the file says by then, requests in flight go on, and a file that
@@ -91,3 +93,27 @@
 		t.Errorf("the end after %v, %d calls for the list where the file says", time.Since(signaled), len(listRequests))
 	}
 }
+
+func TestReadAddressesReportsFault(t *testing.T) {
+	valid := testConfiguration().Text()
+	for _, test := range []struct {
+		name, text string
+		err        error
+		want       string
+	}{
+		{"no file", "", os.ErrNotExist, os.ErrNotExist.Error()},
+		{"no JSON", "{", nil, "JSON"},
+		{"no address", gatewaytest.WithAddress(valid, "discovery", "nowhere"), nil, `field "discovery"`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := readAddresses(func() ([]byte, error) { return []byte(test.text), test.err })
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want one with %s", err, test.want)
+			}
+		})
+	}
+	addresses, err := readAddresses(func() ([]byte, error) { return []byte(valid), nil })
+	if want := (protocol.Addresses{Discovery: "127.0.0.1:1", RolloutController: "127.0.0.1:2"}); err != nil || addresses != want {
+		t.Errorf("%v, %v; want %v", addresses, err, want)
+	}
+}
--- a/cmd/gateway/shutdown_test.go
+++ b/cmd/gateway/shutdown_test.go
@@ -99,3 +99,19 @@
 		t.Errorf("the end %v after SIGTERM", time.Since(signaled))
 	}
 }
+
+func TestShutdownAnswerTimeEndsBeforeKill(t *testing.T) {
+	for _, test := range []struct {
+		name                   string
+		maxClientTimeout, want time.Duration
+	}{
+		{"short deadlines", 1500 * time.Millisecond, 1200 * time.Millisecond},
+		{"long deadlines", 20 * time.Second, 2700 * time.Millisecond},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := shutdownAnswerTime(test.maxClientTimeout); got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
+			}
+		})
+	}
+}
