--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -55,7 +55,7 @@
 	Address  string             // of discovery
 	MaxWait  time.Duration      // of one long poll; the client may wait for less
 	Revision int64              // of the endpoint list that the gateway starts with
-	Random   *seededrand.Chance // spreads the polls of a fleet
+	Random   *seededrand.Source // spreads the polls of a fleet
 	// OnListStart is called when an endpoint list begins to arrive, before it is complete: what the list says
 	// binds the gateway from the moment it is written.
 	OnListStart func()
@@ -120,7 +120,7 @@
 	for ctx.Err() == nil {
 		c.config.OnFailure(c.watch(ctx))
 		select {
-		case <-time.After(watchRetryDelay/2 + c.config.Random.Time(watchRetryDelay)):
+		case <-time.After(watchRetryDelay/2 + c.config.Random.Duration(watchRetryDelay)):
 		case <-ctx.Done():
 		}
 	}
@@ -178,7 +178,7 @@
 // ends the poll; to call it after that does nothing.
 func (c *DiscoveryClient) poll(ctx context.Context, cancel context.CancelFunc, address string, first bool) (listStarted bool, err error) {
 	var responding atomic.Bool
-	wait := c.maxWait - c.config.Random.Time(c.maxWait/waitJitterDivisor)
+	wait := c.maxWait - c.config.Random.Duration(c.maxWait/waitJitterDivisor)
 	stalled := time.AfterFunc(wait+responseGrace, cancel)
 	defer stalled.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
@@ -215,7 +215,7 @@
 	return url + fmt.Sprintf("?after=%d&wait_ms=%d", c.revision, wait.Milliseconds())
 }
 
-// readList reads a list and has it handled. notTaken is true where it did not arrive whole, or was refused for
+// readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
 // another reason than its revision.
 func (c *DiscoveryClient) readList(body io.Reader, full bool) (notTaken bool, err error) {
 	text, err := io.ReadAll(io.LimitReader(body, protocol.ListMost))
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -42,7 +42,7 @@
 type RolloutClientConfig struct {
 	Address     string             // of the rollout controller
 	VoteTimeout time.Duration      // for writing a vote, and again for its answer
-	Random      *seededrand.Chance // spreads the reconnects of a fleet
+	Random      *seededrand.Source // spreads the reconnects of a fleet
 	// OnStatus is called for each rollout status that the controller sends.
 	OnStatus func(decision.RolloutStatus)
 	// OnVoteResult is called once for each vote.
@@ -112,7 +112,7 @@
 // Run keeps the connection until the context ends. One that was answered on is replaced soon; after one that was not,
 // the delay doubles.
 func (c *RolloutClient) Run(ctx context.Context) {
-	c.waitToReconnect(ctx, c.config.Random.Time(maxInitialDelay))
+	c.waitToReconnect(ctx, c.config.Random.Duration(maxInitialDelay))
 	for delay := minReconnectDelay; ctx.Err() == nil; {
 		listenID := c.lastCallID + 1
 		address := c.currentAddress()
@@ -127,7 +127,7 @@
 			continue
 		}
 		c.config.OnDisconnected(address, err)
-		c.waitToReconnect(ctx, delay+c.config.Random.Time(delay))
+		c.waitToReconnect(ctx, delay+c.config.Random.Duration(delay))
 		delay = min(2*delay, maxReconnectDelay)
 	}
 }
