--- a/internal/routing/recorded_test.go
+++ b/internal/routing/recorded_test.go
@@ -110,7 +110,7 @@
 	posted   []datagram
 
 	outages     bool
-	steady      bool // the process never stalls
+	steady      bool           // the process never stalls
 	outageUntil monotonic.Time // discovery answers nobody
 }
 
