--- a/decision/canary.go
+++ b/decision/canary.go
@@ -9,7 +9,7 @@
 
 const (
 	canaryShareSpan   = 4 * time.Second // over which the attempts at a canary endpoint are held to its share
-	canaryShareFactor = 1.1             // of a canary endpoint's share of our requests: the most that it gets
+	canaryShareFactor = 1.1             // of a canary endpoint's share of the requests: the most that it gets
 )
 
 // canaryState is where the newest build stands, and what bounds the requests that meet a canary build.
@@ -80,7 +80,7 @@
 	return canary.exposure.Allows(endpoint.build, request.opType.index, limit, now)
 }
 
-// withinCanaryShare reports whether a canary endpoint has had less than little more than its share of our requests by its
+// withinCanaryShare reports whether a canary endpoint has had little more than its share of the requests, or less, by its
 // size, which binds even where the cap allows more: an endpoint that is slow because it is overloaded would speak against
 // its build. stableInFlight and stablePower are of the endpoints of other builds.
 func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stablePower float64, now monotonic.Time) bool {
@@ -88,7 +88,7 @@
 	if !lb.withinBudget(push*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
 		return false
 	}
-	// No burst when it is first listed: it has no more of our attempts in flight than the others for their power.
+	// No burst when it is first listed: it has no more attempts in flight than the others for their power.
 	return stablePower == 0 || float64(len(endpoint.inFlight)) < 1+push*stableInFlight/stablePower*lb.power(endpoint)
 }
 
@@ -127,7 +127,7 @@
 	rollout.statusReceived = true
 }
 
-// stableInFlight returns how many of our attempts are in flight at ready endpoints of other builds than a canary one, and
+// stableInFlight returns how many attempts are in flight at ready endpoints of other builds than a canary one, and
 // the power of those.
 func (lb *Balancer) stableInFlight() (inFlight, power float64) {
 	for _, endpoint := range lb.endpoints {
