--- a/internal/mirrorpool/mirrorpool.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -1,6 +1,6 @@
-// Package mirrorpool decides from which mirror a file is fetched, when another is tried, and when a fetch is given up. It
-// does no I/O and reads no clock: a driver obeys its steps and tells what came. Every fetch gets exactly one final
-// outcome, before its time is up.
+// Package mirrorpool decides from which mirror a file is fetched, when another mirror is tried, and when a fetch is
+// given up. It does no I/O and reads no clock: a driver executes the steps it returns and reports what it received.
+// Each fetch has exactly one final outcome, before its deadline.
 package mirrorpool
 
 import (
@@ -8,355 +8,191 @@
 	"slices"
 	"time"
 
+	"laurelring/decision/monotonic"
 	"laurelring/internal/seededrand"
 )
 
-// Limits bound each fetch, and all together.
+// Limits bound each fetch, and all fetches together.
 type Limits struct {
-	Attempts   int           // of one fetch
-	Each       time.Duration // one attempt takes at most
-	Stall      time.Duration // no byte comes for so long: it has stalled
-	Pace       int64         // bytes a second that an attempt brings at least, once
-	PaceAfter  time.Duration // it has gone on for so long
-	AtOnce     int           // fetches under way at one mirror
-	AsideFirst time.Duration // a mirror that failed is left alone for so long, twice as long at each further failure
-	AsideMost  time.Duration
-	Bytes      int64         // all fetches may bring within
-	Within     time.Duration // this time
-}
-
-// Ordinary limits suit metadata and targets of some megabytes.
-var Ordinary = Limits{Attempts: 6, Each: 20 * time.Second, Stall: 2 * time.Second, Pace: 8 << 10,
-	PaceAfter: 3 * time.Second, AtOnce: 4, AsideFirst: time.Second, AsideMost: time.Minute,
-	Bytes: 256 << 20, Within: time.Minute}
-
-// How says how an attempt ended.
-type How uint8
-
-// The ways. Brought: whole and trusted. Missing: the mirror does not have it. Bad: what came is not trusted. Large: it
-// is longer than it may be. The others brought a part or nothing.
-const (
-	Brought How = iota
-	Missing
-	Bad
-	Large
-	Stalled
-	Slow
-	Closed
-	Refused
-	Redirected
-	TookTooLong
-	Called // off by us
-)
-
-var hows = [...]string{"brought", "missing", "bad", "too large", "stalled", "too slow", "closed early", "refused",
-	"redirected", "took too long", "called off"}
+	MaxAttempts            int           // of one fetch
+	AttemptTimeout         time.Duration // of one attempt
+	StallTimeout           time.Duration // without a byte, after which an attempt has stalled
+	MinBytesPerSecond      int64         // average rate of an attempt, 0 for none,
+	RateGracePeriod        time.Duration // demanded after this time
+	MaxConcurrentPerMirror int           // fetches in flight at one mirror
+	InitialBackoff         time.Duration // of a mirror after its first failure; doubles with each further one
+	MaxBackoff             time.Duration
+	BudgetBytes            int64         // of all fetches within
+	BudgetWindow           time.Duration // this window
+}
+
+// DefaultLimits suit metadata and targets of some megabytes.
+var DefaultLimits = Limits{
+	MaxAttempts:            6,
+	AttemptTimeout:         20 * time.Second,
+	StallTimeout:           2 * time.Second,
+	MinBytesPerSecond:      8 << 10,
+	RateGracePeriod:        3 * time.Second,
+	MaxConcurrentPerMirror: 4,
+	InitialBackoff:         time.Second,
+	MaxBackoff:             time.Minute,
+	BudgetBytes:            256 << 20,
+	BudgetWindow:           time.Minute,
+}
+
+// maxBackoffDoublings bounds the shift that doubles a backoff.
+const maxBackoffDoublings = 16
+
+// Mirror is one mirror with its health.
+type Mirror struct {
+	Name string // its URL
 
-// String names it for people, metrics and programs.
-func (h How) String() string { return hows[h] }
+	inFlight            int
+	consecutiveFailures int
+	backoffUntil        monotonic.Time
+	draining            bool
+	lastOutcome         AttemptOutcome
+	served              int
+	failed              int
+}
 
-// Mirror is one of them.
-type Mirror struct {
-	Name    string
-	inHand  int
-	strikes int
-	asideAt int64 // until then it is left alone
-	leaving bool
-	last    How
-	served  int
-	failed  int
+// succeeded ends the mirror's backoff.
+func (m *Mirror) succeeded() {
+	m.consecutiveFailures, m.backoffUntil = 0, 0
+	m.served++
 }
 
-// Pool is all the mirrors. It is owned by one goroutine.
+// Pool holds the mirrors and the budget of bytes. It is not safe for concurrent use.
 type Pool struct {
 	limits  Limits
 	mirrors []*Mirror
-	chance  *seededrand.Chance
-	spent   float64 // bytes of the budget, running off with time
-	spentAt int64
+	random  *seededrand.Source
+
+	spentBytes float64 // of the budget, decreasing with time
+	spentAt    monotonic.Time
 }
 
-// NewPool takes the mirrors' names in the operator's order and a seed, by which gateways spread over them.
+// NewPool returns a pool of mirrors, named in the operator's order. Gateways with different seeds spread over the
+// mirrors.
 func NewPool(names []string, seed uint64, limits Limits) *Pool {
-	p := &Pool{limits: limits, chance: seededrand.New(seed)}
+	p := &Pool{limits: limits, random: seededrand.New(seed)}
 	for _, name := range names {
 		p.mirrors = append(p.mirrors, &Mirror{Name: name})
 	}
 	return p
 }
 
-// Drain has nothing new go to a mirror from here on; what is under way there goes on. It tells whether there is one.
-func (p *Pool) Drain(name string, on bool) bool {
-	for _, m := range p.mirrors {
-		if m.Name == name {
-			m.leaving = on
+// SetDraining sets whether a mirror drains: it gets no new attempts, while those in flight go on. It returns false for
+// an unknown mirror.
+func (p *Pool) SetDraining(name string, draining bool) bool {
+	for _, mirror := range p.mirrors {
+		if mirror.Name == name {
+			mirror.draining = draining
 			return true
 		}
 	}
 	return false
 }
 
-// Drained has nothing new go to these mirrors, and to all others again.
-func (p *Pool) Drained(names []string) {
-	for _, m := range p.mirrors {
-		m.leaving = slices.Contains(names, m.Name)
+// SetDrainingMirrors sets which mirrors drain; all others do not.
+func (p *Pool) SetDrainingMirrors(names []string) {
+	for _, mirror := range p.mirrors {
+		mirror.draining = slices.Contains(names, mirror.Name)
 	}
 }
 
-// Act is what the driver is to do.
-type Act uint8
-
-// Try: ask To for the file from the byte From on, until Until. Wait: come back at Until. Over: the fetch has ended.
-const (
-	Try Act = iota
-	Wait
-	Over
-)
-
-// Step is what to do next for a fetch.
-type Step struct {
-	Act   Act
-	To    *Mirror
-	From  int64
-	Until int64
-}
-
-// Fetch is one file on its way. Its outcome is final once Over.
-type Fetch struct {
-	pool     *Pool
-	most     int64 // bytes
-	until    int64
-	to       *Mirror // under way there
-	begunAt  int64
-	came     int64 // bytes of this attempt
-	cameAt   int64
-	have     int64 // bytes that are verified
-	attempts int
-	tried    map[*Mirror]int
-	missing  int
-	last     How // how the last attempt ended
-	over     bool
-	how      How
-}
-
-// Begin begins a fetch of a file of so many bytes at most, to be over by a moment.
-func (p *Pool) Begin(most, until int64) *Fetch {
-	return &Fetch{pool: p, most: most, until: until, tried: map[*Mirror]int{}, how: Refused}
-}
-
-// Next tells what to do now, while nothing is under way.
-func (f *Fetch) Next(now int64) Step {
-	p := f.pool
-	switch {
-	case f.over || f.to != nil:
-		return Step{Act: Over}
-	case now >= f.until:
-		return f.end(TookTooLong)
-	case f.attempts >= p.limits.Attempts:
-		return f.end(f.how)
-	}
-	if at := p.affordable(now, f.most-f.have); at > now {
-		if at >= f.until {
-			return f.end(TookTooLong)
-		}
-		return Step{Act: Wait, Until: at}
-	}
-	to, at := p.pick(f, now)
-	switch {
-	case to == nil && at == math.MaxInt64:
-		return f.end(f.how)
-	case to == nil && at >= f.until: // it would come too late: the answer goes out at once
-		return f.end(f.how)
-	case to == nil:
-		return Step{Act: Wait, Until: at}
-	}
-	f.to, f.begunAt, f.came, f.cameAt = to, now, 0, now
-	f.attempts++
-	f.tried[to]++
-	to.inHand++
-	return Step{Act: Try, To: to, From: f.have, Until: min(f.until, now+int64(p.limits.Each))}
-}
+// never is later than any moment.
+const never = monotonic.Time(math.MaxInt64)
 
-// pick draws among the mirrors that are not left alone and that this fetch has tried least; where all are left alone
-// it gives the moment at which the first is not.
-func (p *Pool) pick(f *Fetch, now int64) (*Mirror, int64) {
-	var some []*Mirror
-	least, at := math.MaxInt, int64(math.MaxInt64)
-	for _, m := range p.mirrors {
-		if m.leaving {
+// pick draws among the available mirrors that the fetch has tried least. Where none is available it returns the moment
+// at which the first one will be, or never.
+func (p *Pool) pick(f *Fetch, now monotonic.Time) (*Mirror, monotonic.Time) {
+	var candidates []*Mirror
+	fewestTries, availableAt := math.MaxInt, never
+	for _, mirror := range p.mirrors {
+		if mirror.draining {
 			continue
 		}
-		if m.inHand >= p.limits.AtOnce {
-			at = min(at, now+int64(p.limits.Stall))
+		if mirror.inFlight >= p.limits.MaxConcurrentPerMirror {
+			availableAt = min(availableAt, now+p.limits.StallTimeout)
 			continue
 		}
-		if now < m.asideAt {
-			at = min(at, m.asideAt)
+		if now < mirror.backoffUntil {
+			availableAt = min(availableAt, mirror.backoffUntil)
 			continue
 		}
-		if n := f.tried[m]; n < least {
-			some, least = nil, n
+		tries := f.tries[mirror]
+		if tries < fewestTries {
+			candidates, fewestTries = nil, tries
 		}
-		if f.tried[m] == least {
-			some = append(some, m)
+		if tries == fewestTries {
+			candidates = append(candidates, mirror)
 		}
 	}
-	if len(some) == 0 {
-		return nil, at
-	}
-	return some[p.chance.Below(int64(len(some)))], now
-}
-
-// affordable is the moment at which the budget of bytes allows so many more.
-func (p *Pool) affordable(now, more int64) int64 {
-	rate := float64(p.limits.Bytes) / float64(p.limits.Within)
-	p.spent = max(0, p.spent-rate*float64(max(0, now-p.spentAt)))
-	p.spentAt = max(now, p.spentAt)
-	over := p.spent + float64(min(more, p.limits.Bytes)) - float64(p.limits.Bytes)
-	if over <= 0 {
-		return now
-	}
-	return now + int64(math.Ceil(over/rate))
-}
-
-// Came tells that bytes came, and how many of the file are verified by now; it tells whether to go on. Where not, the
-// attempt has ended.
-func (f *Fetch) Came(n, verified, now int64) bool {
-	if f.to == nil {
-		return false
-	}
-	f.came += n
-	f.pool.spent += float64(n)
-	f.have = max(f.have, verified)
-	if n > 0 {
-		f.cameAt = now
-	}
-	if f.came > f.most { // also where a part was asked for and all comes
-		f.Ended(Large, now)
-		return false
-	}
-	return f.Check(now)
-}
-
-// Whole tells whether all that the file may be is verified.
-func (f *Fetch) Whole(verified int64) bool { return verified > 0 && verified == f.most }
-
-// Check tells whether an attempt may go on; it is asked when bytes come, and by CheckAt.
-func (f *Fetch) Check(now int64) bool {
-	l := &f.pool.limits
-	going := now - f.begunAt
-	switch {
-	case f.to == nil:
-		return false
-	case now >= f.until || going >= int64(l.Each):
-		f.Ended(TookTooLong, now)
-	case now-f.cameAt >= int64(l.Stall):
-		f.Ended(Stalled, now)
-	case going >= int64(l.PaceAfter) && float64(f.came) < float64(l.Pace)*float64(going)/float64(time.Second):
-		f.Ended(Slow, now)
-	default:
-		return true
-	}
-	return false
-}
-
-// CheckAt is when an attempt is to be checked next if nothing comes.
-func (f *Fetch) CheckAt() int64 {
-	l := &f.pool.limits
-	at := min(f.until, f.begunAt+int64(l.Each), f.cameAt+int64(l.Stall))
-	if l.Pace > 0 { // when what has come is too little for the pace
-		at = min(at, max(f.begunAt+int64(l.PaceAfter), f.begunAt+f.came*int64(time.Second)/l.Pace+1))
-	}
-	return at
-}
-
-// Ended tells how an attempt ended. A mirror that does not have what another may have is no fault of its; any other
-// failure has it left alone, longer each time, by lot, so that gateways do not come back at once.
-func (f *Fetch) Ended(how How, now int64) {
-	m := f.to
-	if m == nil {
-		return
-	}
-	f.to = nil
-	m.inHand--
-	m.last, f.last = how, how
-	p := f.pool
-	switch how {
-	case Brought:
-		m.strikes, m.asideAt = 0, 0
-		m.served++
-		f.end(Brought)
-	case Missing:
-		f.missing++
-		if f.how = Missing; f.missing >= 2 || !p.others(f, now) {
-			f.end(Missing)
-		}
-	case Called:
-		f.end(Called)
-	default:
-		m.strikes++
-		m.failed++
-		pause := min(p.limits.AsideMost, p.limits.AsideFirst<<min(m.strikes-1, 16))
-		m.asideAt = now + int64(pause+p.chance.Time(pause))
-		f.how = how
+	if len(candidates) == 0 {
+		return nil, availableAt
 	}
+	return candidates[p.random.Int64N(int64(len(candidates)))], now
 }
 
-// others tells whether a mirror that this fetch has not asked can be asked now. One alone may hide a file, until what
-// it still shows expires; where no other can be asked, its word stands.
-func (p *Pool) others(f *Fetch, now int64) bool {
-	for _, m := range p.mirrors {
-		if !m.leaving && now >= m.asideAt && f.tried[m] == 0 {
+// hasUntried reports whether a mirror that the fetch has not tried is available now.
+func (p *Pool) hasUntried(f *Fetch, now monotonic.Time) bool {
+	for _, mirror := range p.mirrors {
+		if !mirror.draining && now >= mirror.backoffUntil && f.tries[mirror] == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Misses is how many mirrors said that they do not have the file.
-func (f *Fetch) Misses() int { return f.missing }
-
-// Restart begins a file anew: what was verified turned out to be another file's.
-func (f *Fetch) Restart() { f.have = 0 }
-
-func (f *Fetch) end(how How) Step {
-	if !f.over {
-		f.over, f.how = true, how
-	}
-	return Step{Act: Over}
+// backOff keeps new attempts away from a mirror that failed: for a backoff that doubles with each consecutive failure,
+// and a random part as long again, so that gateways do not come back at once.
+func (p *Pool) backOff(mirror *Mirror, now monotonic.Time) {
+	mirror.consecutiveFailures++
+	mirror.failed++
+	doublings := min(mirror.consecutiveFailures-1, maxBackoffDoublings)
+	backoff := min(p.limits.MaxBackoff, p.limits.InitialBackoff<<doublings)
+	mirror.backoffUntil = now + backoff + p.random.Duration(backoff)
 }
 
-// Give ends a fetch by the caller's will.
-func (f *Fetch) Give(now int64) {
-	f.Ended(Called, now)
-	f.end(Called)
+// affordableAt returns the moment at which the budget allows so many more bytes.
+func (p *Pool) affordableAt(now monotonic.Time, bytes int64) monotonic.Time {
+	rate := float64(p.limits.BudgetBytes) / float64(p.limits.BudgetWindow)
+	p.spentBytes = max(0, p.spentBytes-rate*float64(max(0, now-p.spentAt)))
+	p.spentAt = max(now, p.spentAt)
+	excess := p.spentBytes + float64(min(bytes, p.limits.BudgetBytes)) - float64(p.limits.BudgetBytes)
+	if excess <= 0 {
+		return now
+	}
+	return now + time.Duration(math.Ceil(excess/rate))
 }
 
-// Outcome is how the fetch ended; it has none before.
-func (f *Fetch) Outcome() (how How, over bool) { return f.how, f.over }
-
-// Last is how the last attempt ended, if one has, and none is under way.
-func (f *Fetch) Last() (how How, ended bool) { return f.last, f.to == nil && f.attempts > 0 }
-
-// State is what is known of a mirror.
-type State struct {
-	Name    string `json:"mirror"`
-	Aside   int64  `json:"aside_ns,omitempty"` // how long it is still left alone
-	Leaving bool   `json:"draining,omitempty"`
-	Last    string `json:"last"`
-	Served  int    `json:"served"`
-	Failed  int    `json:"failed"`
+// MirrorState is what operators are shown of a mirror. Its JSON form is part of what gatewayctl prints.
+type MirrorState struct {
+	Name        string        `json:"mirror"`
+	Backoff     time.Duration `json:"aside_ns,omitempty"` // that remains
+	Draining    bool          `json:"draining,omitempty"`
+	LastOutcome string        `json:"last"`
+	Served      int           `json:"served"`
+	Failed      int           `json:"failed"`
 }
 
-// States tells what is known of the mirrors, in the operator's order.
-func (p *Pool) States(now int64) []State {
-	var all []State
-	for _, m := range p.mirrors {
-		last := "never asked"
-		if m.served+m.failed > 0 || m.last != Brought {
-			last = m.last.String()
+// States returns the state of each mirror, in the operator's order.
+func (p *Pool) States(now monotonic.Time) []MirrorState {
+	var states []MirrorState
+	for _, mirror := range p.mirrors {
+		lastOutcome := "never asked"
+		if mirror.served+mirror.failed > 0 || mirror.lastOutcome != OutcomeCompleted {
+			lastOutcome = mirror.lastOutcome.String()
 		}
-		all = append(all, State{m.Name, max(0, m.asideAt-now), m.leaving, last, m.served, m.failed})
-	}
-	return all
+		states = append(states, MirrorState{
+			Name:        mirror.Name,
+			Backoff:     max(0, mirror.backoffUntil-now),
+			Draining:    mirror.draining,
+			LastOutcome: lastOutcome,
+			Served:      mirror.served,
+			Failed:      mirror.failed,
+		})
+	}
+	return states
 }
--- a/internal/routing/rollout.go
+++ b/internal/routing/rollout.go
@@ -98,21 +98,21 @@
 // sendEvidence sends the reports on builds that are due to other gateways.
 func (r *Router) sendEvidence(due *decision.DueWork) {
 	if due.EvidenceReport != nil {
-		datagram := protocol.PackTotals(due.EvidenceReport, r.endpoints.hashOf)
+		datagram := protocol.EncodeEvidenceReport(due.EvidenceReport, r.endpoints.hashOf)
 		for _, recipient := range due.EvidenceRecipients {
 			r.drivers.SendDatagram(recipient, datagram)
 		}
 	}
 	if due.VoterReport != nil {
-		r.drivers.SendDatagram(gossip.AllGateways, protocol.PackFinding(due.VoterReport, r.endpoints.hashOf))
+		r.drivers.SendDatagram(gossip.AllGateways, protocol.EncodeVoterReport(due.VoterReport, r.endpoints.hashOf))
 	}
 }
 
 // evidenceReceived takes in another gateway's report on a build. Any other datagram is ignored.
 func (r *Router) evidenceReceived(sender int, datagram []byte, now monotonic.Time) {
-	if report := protocol.UnpackTotals(datagram, sender, r.endpoints.endpointByHash); report != nil {
+	if report := protocol.DecodeEvidenceReport(datagram, sender, r.endpoints.endpointByHash); report != nil {
 		r.balancer.EvidenceReceived(report, now)
-	} else if report := protocol.UnpackFinding(datagram, sender, r.endpoints.endpointByHash); report != nil {
+	} else if report := protocol.DecodeVoterReport(datagram, sender, r.endpoints.endpointByHash); report != nil {
 		r.balancer.VoterReportReceived(report, now)
 	}
 }
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -55,12 +55,12 @@
 	Address  string             // of discovery
 	MaxWait  time.Duration      // of one long poll; the client may wait for less
 	Revision int64              // of the endpoint list that the gateway starts with
-	Random   *seededrand.Chance // spreads the polls of a fleet
+	Random   *seededrand.Source // spreads the polls of a fleet
 	// OnListStart is called when an endpoint list begins to arrive, before it is complete: what the list says
 	// binds the gateway from the moment it is written.
 	OnListStart func()
 	// OnList is called with the text of each list that arrived. full says that the poll asked for the list from
-	// no revision on. It returns the revision of the list, or protocol.ErrOlder where a newer one is held: the
+	// no revision on. It returns the revision of the list, or protocol.ErrOlderList where a newer one is held: the
 	// next poll asks for the full list then.
 	OnList func(text []byte, full bool) (revision int64, err error)
 	// OnFailure is called with a *protocol.CallError when a poll failed and the watch has ended.
@@ -120,7 +120,7 @@
 	for ctx.Err() == nil {
 		c.config.OnFailure(c.watch(ctx))
 		select {
-		case <-time.After(watchRetryDelay/2 + c.config.Random.Time(watchRetryDelay)):
+		case <-time.After(watchRetryDelay/2 + c.config.Random.Duration(watchRetryDelay)):
 		case <-ctx.Done():
 		}
 	}
@@ -165,7 +165,7 @@
 	listStarted, err := c.poll(pollCtx, cancel, address, first)
 	cancel()
 	if err != nil {
-		err = &protocol.CallError{Revision: c.revision, Took: time.Since(started), Begun: listStarted, Cause: err}
+		err = &protocol.CallError{Revision: c.revision, Duration: time.Since(started), ResponseStarted: listStarted, Err: err}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +178,7 @@
 // ends the poll; to call it after that does nothing.
 func (c *DiscoveryClient) poll(ctx context.Context, cancel context.CancelFunc, address string, first bool) (listStarted bool, err error) {
 	var responding atomic.Bool
-	wait := c.maxWait - c.config.Random.Time(c.maxWait/waitJitterDivisor)
+	wait := c.maxWait - c.config.Random.Duration(c.maxWait/waitJitterDivisor)
 	stalled := time.AfterFunc(wait+responseGrace, cancel)
 	defer stalled.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
@@ -215,10 +215,10 @@
 	return url + fmt.Sprintf("?after=%d&wait_ms=%d", c.revision, wait.Milliseconds())
 }
 
-// readList reads a list and has it handled. notTaken is true where it did not arrive whole, or was refused for
+// readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
 // another reason than its revision.
 func (c *DiscoveryClient) readList(body io.Reader, full bool) (notTaken bool, err error) {
-	text, err := io.ReadAll(io.LimitReader(body, protocol.ListMost))
+	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListSize))
 	if err != nil {
 		return true, err
 	}
@@ -227,7 +227,7 @@
 		c.revision = revision
 		return false, nil
 	}
-	c.requestFull = errors.Is(err, protocol.ErrOlder)
+	c.requestFull = errors.Is(err, protocol.ErrOlderList)
 	return !c.requestFull, err
 }
 
--- a/internal/transport/endpoint_connection.go
+++ b/internal/transport/endpoint_connection.go
@@ -122,10 +122,10 @@
 
 // readUntilUnusable returns why the connection can't be used any longer.
 func (c *endpointConnection) readUntilUnusable() (reason string) {
-	buffer, reply := protocol.NewBuffer(protocol.ReplyMost), protocol.Reply{}
+	buffer, reply := protocol.NewBuffer(protocol.MaxResponseSize), protocol.ResponseReader{}
 	for {
-		n, attempt, err := c.receive(buffer.Room())
-		buffer.Add(n)
+		n, attempt, err := c.receive(buffer.Space())
+		buffer.Commit(n)
 		if n > 0 && !c.handleBytes(attempt, buffer, &reply) {
 			return "unexpected bytes"
 		}
@@ -163,7 +163,7 @@
 }
 
 // handleBytes parses what has arrived for an attempt, and reports whether the connection is still of use.
-func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reply *protocol.Reply) bool {
+func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reply *protocol.ResponseReader) bool {
 	if attempt == nil {
 		c.pool.log.Warn("unexpected bytes from endpoint", "address", c.address)
 		return false
--- a/internal/transport/pending_response.go
+++ b/internal/transport/pending_response.go
@@ -25,16 +25,16 @@
 
 // Respond responds with the value that an endpoint gave.
 func (r *PendingResponse) Respond(value []byte) {
-	r.complete(protocol.BulkHead(len(value)), value, protocol.End)
+	r.complete(protocol.BulkStringHeader(len(value)), value, protocol.BulkStringEnd)
 }
 
 // Reject responds that the request did not run and may be sent again, after the given time if it is not 0.
 func (r *PendingResponse) Reject(after time.Duration) {
-	r.complete(redcon.AppendError(nil, protocol.Refused(after)))
+	r.complete(redcon.AppendError(nil, protocol.RejectedMessage(after)))
 }
 
 // Fail responds that the request may have run or not.
-func (r *PendingResponse) Fail() { r.complete(redcon.AppendError(nil, protocol.Failed)) }
+func (r *PendingResponse) Fail() { r.complete(redcon.AppendError(nil, protocol.FailedMessage)) }
 
 func (r *PendingResponse) complete(parts ...[]byte) {
 	r.once.Do(func() {
