--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -14,9 +14,9 @@
 	evidenceTTL = 1500 * time.Millisecond
 	// maxObservations bounds the endpoints in one message; the others wait for the next.
 	maxObservations = 20
-	// Costs are compared only where this share of the other gateways is heard, as enoughReporting of enoughReportingOf.
-	enoughReporting   = 3
-	enoughReportingOf = 4
+	// Costs are compared only where at least minReporting in minReportingOf of the other gateways are heard.
+	minReporting   = 3
+	minReportingOf = 4
 )
 
 // unreportedResults is what this gateway has seen of an endpoint since its last evidence report.
@@ -132,7 +132,7 @@
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
 	peers.reporting = peers.reports.CountedSince(now - evidenceTTL)
-	peers.underReported = enoughReportingOf*peers.reporting < enoughReporting*(lb.gateways-1)
+	peers.underReported = minReportingOf*peers.reporting < minReporting*(lb.gateways-1)
 	if peers.underReported || !isVoter {
 		peers.underReportedAt, cost.pendingFleet = now, nil // what the fleet did meanwhile is not known
 	}
--- a/decision/requestcost_test.go
+++ b/decision/requestcost_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"laurelring/decision/rollout"
 )
 
 // Incident ha18a08: the requests of a slow build cost its endpoints more; queues, as in incident ib4b670, do not change the
@@ -141,3 +143,29 @@
 		t.Error("an answer and a timeout do not count as one and a half")
 	}
 }
+
+// An interval counts once three later ones are known: by then a loss of messages would have shown, and emptied those that wait.
+func TestFleetCostCountsAfterADelay(t *testing.T) {
+	var cost costState
+	for i, want := range []float64{0, 0, 0, 1, 3, 6} { // intervals of 1, 2, 3... requests
+		requests := float64(i + 1)
+		cost.addFleetCost(rollout.FleetCost{Requests: requests, Cost: 2 * requests})
+		if cost.fleet.Requests != want || cost.fleet.Cost != 2*want {
+			t.Errorf("after %d intervals %+v counts, want %v requests", i+1, cost.fleet, want)
+		}
+	}
+}
+
+// Busy time is compared from the start of a build on only where the gateway ran before it.
+func TestCostComparisonRestartsWithTheBuild(t *testing.T) {
+	for _, ranBefore := range []bool{true, false} {
+		gateway := newTestGateway(3, PromoteByAnyVote)
+		gateway.addEndpoints(4, 0, 1)
+		gateway.balancer.RolloutChanged(RolloutStatus{Build: 1, Phase: PhaseReleased, ExposureCap: 1}, gateway.now)
+		gateway.balancer.rollout.statusReceived = ranBefore
+		gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseCanary, ExposureCap: 0.5}, gateway.now)
+		if cost := gateway.balancer.rollout.cost; (cost.start != nil) != ranBefore || cost.startedLate == ranBefore {
+			t.Errorf("ran before the build: %v, %+v", ranBefore, cost)
+		}
+	}
+}
--- a/decision/rollout/counters.go
+++ b/decision/rollout/counters.go
@@ -1,6 +1,6 @@
 // Package rollout weighs the evidence for and against a canary build: what all gateways have counted of attempts at its
-// endpoints and at those of earlier builds, and how busy both kept their endpoints. It knows nothing of endpoints, peers or
-// votes, holds no clock, and draws nothing at random.
+// endpoints and at those of earlier builds, and how busy both kept their endpoints. It also selects the gateways that judge a
+// build, and keeps the latest totals of each. It knows no single endpoint, reads no clock, and draws nothing at random.
 package rollout
 
 import "slices"
