--- a/cmd/gateway/build.go
+++ b/cmd/gateway/build.go
@@ -59,7 +59,7 @@
 	return g, nil
 }
 
-// newClock gives the gateway's monotonic clock: it begins at the time of day and does not follow changes of that.
+// newClock returns the gateway's monotonic clock: it begins at the time of day and does not follow changes of that.
 func newClock() func() monotonic.Time {
 	started := time.Now()
 	return func() monotonic.Time { return time.Duration(started.UnixNano()) + time.Since(started) }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// buildMetadataAgent makes the agent that keeps signed metadata fresh where there is an operator's file, and gives the
+// buildMetadataAgent makes the agent that keeps signed metadata fresh where there is an operator's file, and returns the
 // driver that verifies builds, nil where builds are not verified.
 func (g *gateway) buildMetadataAgent() (verifyBuild func(build int), err error) {
 	if g.configuration.operatorFile == "" {
@@ -215,7 +215,7 @@
 	return err
 }
 
-// receiveEndpointList passes a list of discovery on to the router and gives its revision. A full list was asked for
+// receiveEndpointList passes a list of discovery on to the router and returns its revision. A full list was asked for
 // from no revision on.
 func (g *gateway) receiveEndpointList(text []byte, full bool) (revision int64, err error) {
 	list, err := g.configuration.parseEndpointList(text)
--- a/cmd/gateway/configuration.go
+++ b/cmd/gateway/configuration.go
@@ -79,7 +79,7 @@
 	return int64(requestShare * float64(c.file.Limits.MemoryBytes))
 }
 
-// configureProcess sets the limits of the process and its log, which it gives.
+// configureProcess sets the limits of the process and its log, and returns the log.
 func configureProcess(c *configuration) *slog.Logger {
 	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: c.logLevel})
 	log := slog.New(handler).With("gateway", c.file.Name)
--- a/cmd/gateway/gateway_test.go
+++ b/cmd/gateway/gateway_test.go
@@ -36,7 +36,7 @@
 	stopped          bool // nothing is left to clean up
 }
 
-// startGateway brings a gateway up that may hold so many descriptors.
+// startGateway starts a gateway with the given limit of descriptors and waits until it accepts connections.
 func startGateway(t *testing.T, descriptors int) *testGateway {
 	t.Helper()
 	return startGatewayWith(t, descriptors, gatewaytest.Settings)
@@ -110,7 +110,7 @@
 	}
 }
 
-// ask sends requests on one connection and gives what comes back until it ends or has been waited for.
+// ask sends requests on one connection and returns what comes back until the connection ends or the wait is over.
 func (g *testGateway) ask(wait time.Duration, requests ...string) string {
 	return gatewaytest.Ask(g.address, wait, requests...)
 }
@@ -129,14 +129,14 @@
 // configurationText is the text of the configuration file as it is now.
 func (g *testGateway) configurationText() string { return g.configuration.Load().(string) }
 
-// moveDiscovery has the file name another address of discovery, and gives what is asked for there.
+// moveDiscovery writes another address of discovery to the configuration file and returns the requests made there.
 func (g *testGateway) moveDiscovery() (requests chan string) {
 	address, requests := g.secondDiscovery()
 	g.configuration.Store(gatewaytest.WithAddress(g.configurationText(), "discovery", address))
 	return requests
 }
 
-// secondDiscovery starts another discovery service with the same answers, and gives what is asked for there.
+// secondDiscovery starts another discovery service with the same answers and returns the requests made there.
 func (g *testGateway) secondDiscovery() (address string, requests chan string) {
 	g.t.Helper()
 	second := &gatewaytest.ScriptedDiscovery{Lists: g.discovery.Lists, Requests: make(chan string, 99)}
--- a/cmd/gateway/metadata_test.go
+++ b/cmd/gateway/metadata_test.go
@@ -24,7 +24,7 @@
 // signedBuild is the target whose signature verifies build 1.
 const signedBuild = "builds/1.json"
 
-// writeOperatorFile writes an operator's file for signed metadata and the root that it trusts first, and gives its path
+// writeOperatorFile writes an operator's file for signed metadata and the root that it trusts first, and returns its path
 // and that of the store.
 func writeOperatorFile(t *testing.T, repository *tuftest.Repository, mirror, more string) (path, storePath string) {
 	t.Helper()
@@ -123,7 +123,7 @@
 	}
 }
 
-// loadGateway sends a gateway the requests of all clients, and gives the latencies of those that got an answer, in
+// loadGateway sends a gateway the requests of all clients, and returns the latencies of those that got an answer, in
 // ascending order, and the allocations of this process meanwhile.
 func loadGateway(t *testing.T, gateway *testGateway) (latencies []time.Duration, allocations uint64) {
 	t.Helper()
--- a/cmd/gateway/outage_test.go
+++ b/cmd/gateway/outage_test.go
@@ -41,7 +41,7 @@
 	return o
 }
 
-// begin has the endpoints drain and discovery list them as draining.
+// begin makes the endpoints drain and discovery list them as draining.
 func (o *turnover) begin(discovery *gatewaytest.Discovery) {
 	for _, endpoint := range o.drained {
 		endpoint.SetDraining(true)
--- a/cmd/gateway/reload.go
+++ b/cmd/gateway/reload.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// moveTo has the clients of discovery and of the rollout controller use these addresses.
+// moveTo points the clients of discovery and of the rollout controller to these addresses.
 func (g *gateway) moveTo(addresses protocol.Addresses) {
 	g.log.Info("configuration reloaded", "discovery", addresses.Discovery, "rollout_controller", addresses.RolloutController)
 	if moved := g.discovery.SetAddress(addresses.Discovery); moved {
--- a/cmd/gateway/shutdown.go
+++ b/cmd/gateway/shutdown.go
@@ -16,7 +16,7 @@
 )
 
 // beginShutdown has all requests answered before the process may be killed, and client connections closed once they
-// are idle. It gives the number of connections that are left open at the end.
+// are idle. The channel receives the number of connections that are left open at the end.
 func (g *gateway) beginShutdown(signal os.Signal) <-chan int {
 	g.log.Info("shutting down", "signal", signal.String())
 	finished := make(chan int, 1)
--- a/examples/fakebackends/main.go
+++ b/examples/fakebackends/main.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// sendRolloutStatus tells a gateway that listens that the only build is released, and then sends heartbeats until the
+// sendRolloutStatus sends a gateway that listens the status of the only build, released, and then sends heartbeats until the
 // gateway has gone.
 func sendRolloutStatus(conn net.Conn) {
 	defer conn.Close()
@@ -130,7 +130,7 @@
 	}
 }
 
-// ask sends the gateway one read and gives its answer: the value, or the line of an error.
+// ask sends the gateway one read and returns its answer: the value, or the line of an error.
 func ask(key string) (string, error) {
 	conn, err := net.Dial("tcp", gatewayAddress)
 	if err != nil {
--- a/internal/gatewaytest/client.go
+++ b/internal/gatewaytest/client.go
@@ -42,8 +42,8 @@
 // BulkString is a value as a client gets it.
 func BulkString(text string) string { return string(redcon.AppendBulkString(nil, text)) }
 
-// Ask sends requests to a gateway on one connection and gives all that comes back until the connection ends or has been
-// waited for.
+// Ask sends requests to a gateway on one connection and returns all that comes back until the connection ends or
+// the wait is over.
 func Ask(address string, wait time.Duration, requests ...string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return string(answers)
 }
 
-// ReadLastWord reads a request as an endpoint does and gives its last word, which is the body of a write.
+// ReadLastWord reads a request as an endpoint does and returns its last word, which is the body of a write.
 func ReadLastWord(in *bufio.Reader) (word string, err error) {
 	head, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/gatewaytest/discovery.go
+++ b/internal/gatewaytest/discovery.go
@@ -23,7 +23,7 @@
 	Requests chan string // the path and query of each call, unless nil
 }
 
-// Listen has the service answer at an address, which it gives.
+// Listen starts to answer on a free port and returns its address.
 func (d *ScriptedDiscovery) Listen(t *testing.T) string {
 	t.Helper()
 	listener := Listen(t)
@@ -67,7 +67,7 @@
 	refusing    bool // all calls are refused at once
 }
 
-// NewDiscovery starts a discovery service whose calls cost nothing, and gives its address.
+// NewDiscovery starts a discovery service whose calls cost nothing, and returns its address.
 func NewDiscovery(t *testing.T, records []EndpointRecord) (*Discovery, string) {
 	t.Helper()
 	d := &Discovery{records: records, revision: 1, changed: make(chan struct{}), fell: make(chan struct{})}
@@ -110,7 +110,7 @@
 	d.callCost = cost
 }
 
-// SetPartial has the service write half of each newer list and refuse calls after that, or answer again.
+// SetPartial makes the service write half of each newer list and refuse calls after that, or answer again.
 func (d *Discovery) SetPartial(partial bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/gatewaytest/endpoint.go
+++ b/internal/gatewaytest/endpoint.go
@@ -14,7 +14,7 @@
 const slowAnswer = 300 * time.Millisecond
 
 // KeyedEndpoint is a fake endpoint whose answer a request's key chooses: "breaks" closes the connection, "fails" is an
-// error, "full" turns the request away, "silent" gives no answer, "damaged" a malformed one; keys that begin with "slow"
+// error, "full" turns the request away, "silent" is no answer, "damaged" a malformed one; keys that begin with "slow"
 // are answered late, all others at once.
 type KeyedEndpoint struct {
 	t        *testing.T
@@ -24,7 +24,7 @@
 // NewKeyedEndpoint makes an endpoint that listens nowhere yet.
 func NewKeyedEndpoint(t *testing.T) *KeyedEndpoint { return &KeyedEndpoint{t: t} }
 
-// Listen has the endpoint serve at one more address, which it gives.
+// Listen starts to serve on one more free port and returns its address.
 func (e *KeyedEndpoint) Listen() string {
 	e.t.Helper()
 	listener := Listen(e.t)
@@ -92,7 +92,7 @@
 	return e
 }
 
-// SetDraining has the endpoint turn requests away, or serve them again.
+// SetDraining makes the endpoint turn requests away, or serve them again.
 func (e *Endpoint) SetDraining(draining bool) { e.draining.Store(draining) }
 
 // Restart closes all connections, as the end of a process does; new ones are served as before.
--- a/internal/gatewaytest/fleet.go
+++ b/internal/gatewaytest/fleet.go
@@ -72,8 +72,8 @@
 	return f
 }
 
-// reserveAddresses finds free ports for a gateway's clients and for its peers' datagrams, and holds them until it is
-// told to release them.
+// reserveAddresses finds free ports for a gateway's clients and for its peers' datagrams, and keeps them open
+// until release is called.
 func reserveAddresses(t *testing.T) (clients, peers string, release func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gatewaytest/gatewaytest.go
+++ b/internal/gatewaytest/gatewaytest.go
@@ -29,7 +29,7 @@
 	return socket
 }
 
-// ReceiveDatagrams passes on the size of each datagram that arrives at a new socket, and gives the socket's address.
+// ReceiveDatagrams passes on the size of each datagram that arrives at a new socket, and returns the socket's address.
 func ReceiveDatagrams(t *testing.T, sizes chan<- int) string {
 	t.Helper()
 	socket := ListenPacket(t)
--- a/internal/gatewaytest/rollout.go
+++ b/internal/gatewaytest/rollout.go
@@ -21,7 +21,7 @@
 	listeners []net.Conn
 }
 
-// NewRolloutController starts a rollout controller, whose status is ReleasedStatus, and gives its address.
+// NewRolloutController starts a rollout controller, whose status is ReleasedStatus, and returns its address.
 func NewRolloutController(t *testing.T) (*RolloutController, string) {
 	t.Helper()
 	c := &RolloutController{status: ReleasedStatus}
