--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -43,8 +43,7 @@
 
 // scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
 func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
-	delay := time.Duration(lb.random.Below(int(evidenceInterval/time.Millisecond))) * time.Millisecond
-	lb.rollout.peers.nextReportAt = now + delay
+	lb.rollout.peers.nextReportAt = now + lb.random.Jitter(evidenceInterval)
 }
 
 // reportEvidence lays out this gateway's totals and observations for the voters.
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -184,7 +184,6 @@
 		vote.last = Vote{}
 		vote.nextAt = now + notSentRetryDelay
 	default:
-		jitter := time.Duration(lb.random.Below(int(uncertainRetryJitter/time.Millisecond))) * time.Millisecond
-		vote.nextAt = now + uncertainRetryDelay + jitter
+		vote.nextAt = now + uncertainRetryDelay + lb.random.Jitter(uncertainRetryJitter)
 	}
 }
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -28,11 +28,11 @@
 
 // gossipReceived takes in a peer's query or view of the endpoint list, and reports whether the datagram was one.
 func (r *Router) gossipReceived(sender int, datagram []byte, now monotonic.Time) bool {
-	if query, ok := protocol.UnpackQuery(datagram); ok {
+	if query, ok := protocol.DecodeGossipQuery(datagram); ok {
 		r.list.exchange.QueryReceived(sender, query, now)
 		return true
 	}
-	view, ok := protocol.UnpackView(datagram)
+	view, ok := protocol.DecodeGossipView(datagram)
 	if !ok {
 		return false
 	}
@@ -107,20 +107,20 @@
 func (r *Router) sendGossip(now monotonic.Time) time.Duration {
 	due, wait := r.list.exchange.Tick(now)
 	for _, recipient := range due.QueryRecipients {
-		r.drivers.SendDatagram(recipient, protocol.PackQuery(due.Query))
+		r.drivers.SendDatagram(recipient, protocol.EncodeGossipQuery(due.Query))
 	}
 	var ready []uint32
 	for _, reply := range due.Replies {
 		if !reply.IncludeReady {
 			view := gossip.View{Revision: reply.Revision, Age: reply.Age}
-			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
+			r.drivers.SendDatagram(reply.To, protocol.EncodeGossipView(view))
 			continue
 		}
 		if ready == nil {
 			ready = r.endpoints.readyIncarnations()
 		}
-		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.ViewEach) {
-			r.drivers.SendDatagram(reply.To, protocol.PackView(view))
+		for _, view := range gossip.SplitView(reply.Revision, reply.Age, ready, protocol.MaxIncarnationsPerView) {
+			r.drivers.SendDatagram(reply.To, protocol.EncodeGossipView(view))
 		}
 	}
 	return wait
--- a/internal/transport/client_reader.go
+++ b/internal/transport/client_reader.go
@@ -50,7 +50,7 @@
 	return copy(p, handoverCommand), nil
 }
 
-// readRequest waits for the next request. A malformedRequestError tells what is wrong with what came in its place;
+// readRequest waits for the next request. A malformedRequestError says what is wrong with what came in its place;
 // any other error, that the connection was closed by the client or by the gateway.
 func (c *clientConnection) readRequest() (redcon.Command, error) {
 	for {
@@ -74,7 +74,7 @@
 
 // parseBuffered takes the next complete request off the buffer.
 func (c *clientConnection) parseBuffered() (redcon.Command, error) {
-	size, tooLarge, err := c.framing.Next(c.buffer)
+	size, tooLarge, err := c.scanner.Next(c.buffer)
 	switch {
 	case err != nil:
 		c.framingLost = true
@@ -85,7 +85,7 @@
 		return redcon.Command{}, errRequestIncomplete
 	}
 	raw := bytes.Clone(c.buffer.Bytes()[:size])
-	c.buffer.Drop(size)
+	c.buffer.Discard(size)
 	command, err := redcon.Parse(raw)
 	if err != nil {
 		c.framingLost = true
@@ -97,8 +97,8 @@
 // receive reads what has arrived into the buffer, or waits until the read deadline. Neither a timeout nor an error
 // that comes with some bytes is an error: the next call meets the latter again.
 func (c *clientConnection) receive() error {
-	n, err := c.Conn.Read(c.buffer.Room())
-	c.buffer.Add(n)
+	n, err := c.Conn.Read(c.buffer.Space())
+	c.buffer.Commit(n)
 	if n > 0 || isTimeout(err) {
 		return nil
 	}
@@ -110,7 +110,7 @@
 // is closed here. It returns false if an incomplete request has timed out.
 func (c *clientConnection) setReadDeadline() bool {
 	now := time.Now()
-	if len(c.buffer.Bytes()) > 0 || c.framing.Begun() {
+	if len(c.buffer.Bytes()) > 0 || c.scanner.Started() {
 		return c.setPartialDeadline(now)
 	}
 	c.mu.Lock()
