--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -96,7 +96,7 @@
 	return 1, 1, 0
 }
 
-// medianWithout returns the median of sorted figures without one of them, the lower one of two.
+// medianWithout returns the median of sorted figures without one of them; of two middle ones the upper.
 func medianWithout(sorted []float64, own float64) float64 {
 	at := (len(sorted) - 1) / 2
 	if own <= sorted[at] {
