--- a/internal/simulatoradapter/events.go
+++ b/internal/simulatoradapter/events.go
@@ -212,7 +212,7 @@
 	e.status.Build = int(r.uint16())
 	e.status.Stage = int(r.uint8())
 	e.status.Phase = decision.RolloutPhase(min(r.uint8(), lastPhase))
-	e.answersVote = r.uint8() == answersVote
+	e.answersVote = r.uint8() == statusAnswersVote
 	e.outcome = r.uint8()
 	e.status.ExposureCap = r.float32()
 	e.status.Age = r.duration()
