--- a/internal/mirrorpool/fetch.go
+++ b/internal/mirrorpool/fetch.go
@@ -30,7 +30,7 @@
 func (WaitStep) isStep()    {}
 func (DoneStep) isStep()    {}
 
-// notFoundQuorum is how many mirrors have to report that they do not have a file, where so many can be asked: a single
+// notFoundQuorum is how many mirrors have to report that they do not have a file, where two can be asked: a single
 // one could hide a file until what it still shows expires.
 const notFoundQuorum = 2
 
@@ -110,7 +110,7 @@
 	return f.CheckAttempt(now)
 }
 
-// IsComplete reports whether so many verified bytes are all that the file may have.
+// IsComplete reports whether a count of verified bytes is all that the file may have.
 func (f *Fetch) IsComplete(verified int64) bool { return verified > 0 && verified == f.maxBytes }
 
 // CheckAttempt returns whether the attempt in flight may go on; where not, it has ended. It is to be called when bytes
--- a/internal/mirrorpool/mirrorpool.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -155,7 +155,7 @@
 	mirror.backoffUntil = now + backoff + p.random.Duration(backoff)
 }
 
-// affordableAt returns the moment at which the budget allows so many more bytes.
+// affordableAt returns the moment from which on the budget allows further bytes.
 func (p *Pool) affordableAt(now monotonic.Time, bytes int64) monotonic.Time {
 	rate := float64(p.limits.BudgetBytes) / float64(p.limits.BudgetWindow)
 	p.spentBytes = max(0, p.spentBytes-rate*float64(max(0, now-p.spentAt)))
--- a/internal/tuftest/fault.go
+++ b/internal/tuftest/fault.go
@@ -42,7 +42,7 @@
 	response.(http.Flusher).Flush()
 }
 
-// StallAfter returns a fault that sends so many bytes, and then nothing while it keeps the connection open.
+// StallAfter returns a fault that sends a number of bytes, and then nothing while it keeps the connection open.
 func StallAfter(bytes int) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// CloseAfter returns a fault that closes the connection after so many bytes of the promised ones.
+// CloseAfter returns a fault that closes the connection after a number of the promised bytes.
 func CloseAfter(bytes int) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
