--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -59,7 +59,7 @@
 	}
 	outcome := response.Outcome
 	if outcome == decision.OutcomeSuccess && response.Value == nil {
-		outcome = decision.OutcomeError // a null is the answer to another request
+		outcome = decision.OutcomeError // a response without a value answers some other request
 	}
 	if outcome == decision.OutcomeSuccess {
 		r.balancer.AttemptServed(attempt.state, now-attempt.handle.ConnectionAge())
