--- a/decision/outliers_test.go
+++ b/decision/outliers_test.go
@@ -1,5 +1,9 @@
 package decision
 
+import (
+	"testing"
+)
+
 import "testing"
 
 func TestMedianLeavesOutTheEndpointsOwnFigure(t *testing.T) {
