--- a/decision/voters_test.go
+++ b/decision/voters_test.go
@@ -4,7 +4,6 @@
 	"testing"
 )
 
-
 // rolls-east-later: 360 voters each heard 600 gateways. A few judge for all and the others follow them; none votes to promote
 // before 3 s, or to roll back a good build.
 func TestFleetFollowsAFewVoters(t *testing.T) {
