--- /dev/null
+++ b/decision/gossip/tunedvalues_test.go
@@ -0,0 +1,20 @@
+package gossip
+
+import "testing"
+
+// No recorded session or history reaches what these values decide closely enough to notice a change of a tenth. A change
+// is to be measured, and then made here as well.
+func TestTunedValuesThatNoRecordingHolds(t *testing.T) {
+	for name, value := range map[string]struct{ got, want float64 }{
+		"maxParts":        {float64(maxParts), 255},
+		"maxSenders":      {float64(maxSenders), 8},
+		"newerViewTTL":    {float64(newerViewTTL), 6e9},
+		"broadcastWindow": {float64(broadcastWindow), 1e9},
+		"minAgeGain":      {float64(minAgeGain), 300e6},
+		"replyReuseSpan":  {float64(replyReuseSpan), 300e6},
+	} {
+		if value.got != value.want {
+			t.Errorf("%s is %v, want %v", name, value.got, value.want)
+		}
+	}
+}
--- /dev/null
+++ b/decision/rollout/tunedvalues_test.go
@@ -0,0 +1,16 @@
+package rollout
+
+import "testing"
+
+// No recorded session or history reaches what these values decide closely enough to notice a change of a tenth. A change
+// is to be measured, and then made here as well.
+func TestTunedValuesThatNoRecordingHolds(t *testing.T) {
+	for name, value := range map[string]struct{ got, want float64 }{
+		"maxFailureMargin":  {float64(maxFailureMargin), 0.02},
+		"harmFailureMargin": {float64(harmFailureMargin), 0.25},
+	} {
+		if value.got != value.want {
+			t.Errorf("%s is %v, want %v", name, value.got, value.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/routing/tunedvalues_test.go
@@ -0,0 +1,18 @@
+package routing
+
+import "testing"
+
+// No recorded session or history reaches what these values decide closely enough to notice a change of a tenth. A change
+// is to be measured, and then made here as well.
+func TestTunedValuesThatNoRecordingHolds(t *testing.T) {
+	for name, value := range map[string]struct{ got, want float64 }{
+		"removedEndpointTTL":   {float64(removedEndpointTTL), 60e9},
+		"maxKnownBuilds":       {float64(maxKnownBuilds), 64},
+		"eventQueueSize":       {float64(eventQueueSize), 1024},
+		"loggedStallThreshold": {float64(loggedStallThreshold), 500e6},
+	} {
+		if value.got != value.want {
+			t.Errorf("%s is %v, want %v", name, value.got, value.want)
+		}
+	}
+}
