--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -93,7 +93,7 @@
 }
 
 // WrongAnswerReported counts an endpoint's answer that its client found wrong as a failure of the endpoint's build.
-func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt, now monotonic.Time) {
+func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt monotonic.Time) {
 	if sentAt >= lb.rollout.buildSeenAt {
 		endpoint.evidence.byOpType[op.index].Failures++
 	}
--- a/internal/simulatoradapter/events.go
+++ b/internal/simulatoradapter/events.go
@@ -242,7 +242,7 @@
 func (e wrongAnswer) apply(g *gateway, now monotonic.Time) error {
 	endpoint := g.endpoints[e.endpointID]
 	if endpoint != nil && int(e.opType) < len(g.opTypes) {
-		g.balancer.WrongAnswerReported(endpoint, g.opTypes[e.opType], now-e.age, now)
+		g.balancer.WrongAnswerReported(endpoint, g.opTypes[e.opType], now-e.age)
 	}
 	return nil
 }
