--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -100,7 +100,7 @@
 }
 
 // RetainEndpoints takes in which endpoints a complete list named: the others are gone.
-func (lb *Balancer) RetainEndpoints(named map[*Endpoint]bool, now monotonic.Time) {
+func (lb *Balancer) RetainEndpoints(named map[*Endpoint]bool) {
 	for _, endpoint := range lb.endpoints {
 		if !named[endpoint] {
 			endpoint.ready, endpoint.present = false, false
--- a/internal/simulatoradapter/endpoint_list.go
+++ b/internal/simulatoradapter/endpoint_list.go
@@ -69,7 +69,7 @@
 		g.balancer.UpdateEndpoint(endpoint, entry.status, now)
 	}
 	if e.kind != listChanges {
-		g.balancer.RetainEndpoints(listed, now)
+		g.balancer.RetainEndpoints(listed)
 	}
 	g.balancer.CommitEndpointList(e.kind == listCached, now)
 	return nil
