--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -208,7 +208,7 @@
 	if len(report) == 0 || field == "" {
 		return 0, false
 	}
-	for _, entry := range strings.Split(string(report), ",") {
+	for entry := range strings.SplitSeq(string(report), ",") {
 		if name, text, _ := strings.Cut(entry, "="); name == field {
 			value, err := strconv.ParseFloat(text, 64)
 			return value, err == nil && value >= 0 && value < maxUtilization
