--- a/cmd/laurelring/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command laurelring is one gateway on real sockets.
+// Command gateway is one gateway on real sockets.
 package main
 
 import (
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"laurelring/choice"
-	"laurelring/internal/chance"
-	"laurelring/internal/membership"
+	"laurelring/decision"
+	"laurelring/decision/gossip"
 	"laurelring/internal/protocol"
 	"laurelring/internal/routing"
+	"laurelring/internal/seededrand"
 	"laurelring/internal/transport"
 	"laurelring/internal/tuf"
 )
@@ -47,7 +47,7 @@
 		err = run(text, func() ([]byte, error) { return os.ReadFile(path) }, ended, again)
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "laurelring:", err)
+		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(1)
 	}
 }
@@ -71,7 +71,7 @@
 		return err
 	}
 	gateway, ops, _ := f.Gateway(seed)
-	named := map[string]*choice.OpType{}
+	named := map[string]*decision.OpType{}
 	for i, one := range f.Asked() {
 		named[one] = ops[i]
 	}
@@ -102,7 +102,7 @@
 	begun := time.Now()
 	clock := func() int64 { return begun.UnixNano() + int64(time.Since(begun)) }
 	budget := transport.NewBudget(descriptors)
-	complaints, lots := &transport.Complaints{}, chance.New(seed)
+	complaints, lots := &transport.Complaints{}, seededrand.New(seed)
 	instances := transport.NewInstances(budget, complaints, connectWithin, idleFor/2)
 	post := func(int, []byte) {}
 	var r *routing.Router
@@ -138,12 +138,12 @@
 	var desk *transport.Desk
 	r = routing.New(gateway, busy, clock, routing.Outside{
 		Send: func(address string, until time.Time, words func(int64) []byte,
-			ended func(choice.Outcome, []byte, []byte)) routing.Delivery {
+			ended func(decision.Outcome, []byte, []byte)) routing.Delivery {
 			return instances.Send(address, until, words, ended)
 		},
 		Drop:  instances.Drop,
 		Post:  post,
-		Vote:  func(v choice.Vote) { desk.Vote(v) },
+		Vote:  func(v decision.Vote) { desk.Vote(v) },
 		Watch: func() { discovery.Watch(ctx) },
 		Build: build,
 	})
@@ -156,7 +156,7 @@
 	}, lots)
 	gateway.LeaseList(clock())
 	if rank, many := f.Rank(); peers != nil && f.Messages() && many > 1 {
-		r.Share(membership.NewExchange(rank, many, startList.Revision, chance.New(seed).Below, clock()))
+		r.Share(gossip.NewExchange(rank, many, startList.Revision, seededrand.New(seed).Below, clock()))
 	}
 	if err := protocol.News(news, r.News); err != nil {
 		return fmt.Errorf(`field "pipeline.news": %w`, err)
@@ -174,7 +174,7 @@
 	}
 	defer ln.Close()
 	front := transport.NewFront(budget, complaints, int64(handShare*float64(memory)), longest, named,
-		func(op *choice.OpType, key uint64, id string, left int64, again func(int64) []byte, to *transport.Answer) {
+		func(op *decision.OpType, key uint64, id string, left int64, again func(int64) []byte, to *transport.Answer) {
 			r.Command(op, key, id, left, again, to)
 		}, func(to *transport.Answer) { r.Gone(to) })
 	go r.Run(ctx)
--- a/choice/choice.go
+++ b/decision/choice.go
@@ -9,7 +9,7 @@
 // allowed; the choice of an instance; After and what is learned from it; facts; the pair test and the vote;
 // Wait.
 
-package choice
+package decision
 
 import (
 	"math"
--- a/choice/discovery.go
+++ b/decision/discovery.go
@@ -1,4 +1,4 @@
-package choice
+package decision
 
 // This file decides when discovery is called for the list of instances, where a gateway has to ask for it.
 
--- a/choice/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -1,4 +1,4 @@
-package choice
+package decision
 
 import "testing"
 
--- a/internal/membership/assembly.go
+++ b/decision/gossip/assembly.go
@@ -1,4 +1,4 @@
-package membership
+package gossip
 
 // partsMost bounds how many parts one view has: more instances than a fleet has do not fit.
 const partsMost = 255
--- a/internal/membership/exchange.go
+++ b/decision/gossip/exchange.go
@@ -1,4 +1,4 @@
-// Package membership decides how gateways help one another to know which instances are ready while discovery does not
+// Package gossip decides how gateways help one another to know which instances are ready while discovery does not
 // answer them all. A gateway that has no fresh answer of discovery queries a few peers; one that has such an answer
 // replies with its revision and, where the asker's is older, with the incarnations that are ready at it. A reply renews
 // the asker's trust in its list, and tells it which of its instances have drained or gone. It never makes an instance
@@ -9,7 +9,7 @@
 //
 // The package does no I/O and reads no clock. Times are whole nanoseconds of one monotonic clock for each gateway; only
 // ages travel between gateways. All calls come from one goroutine.
-package membership
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/membership/exchange_test.go
+++ b/decision/gossip/exchange_test.go
@@ -1,4 +1,4 @@
-package membership
+package gossip
 
 import (
 	"fmt"
--- a/choice/state.go
+++ b/decision/state.go
@@ -1,5 +1,5 @@
-// Package choice decides for one gateway; choice.go holds every decision, this file only what it remembers.
-package choice
+// Package decision decides for one gateway; choice.go holds every decision, this file only what it remembers.
+package decision
 
 // Kind says how often a command of an op type may run.
 type Kind uint8
--- a/choice/trust.go
+++ b/decision/trust.go
@@ -1,4 +1,4 @@
-package choice
+package decision
 
 // This file decides for how long the list of instances is trusted while nothing confirms it. The list is a lease: each
 // answer of discovery, and each peer that got one, renews it. When it has run out, only instances that prove by their
--- a/examples/toy/main.go
+++ b/examples/fakebackends/main.go
@@ -1,4 +1,4 @@
-// Command toy stands in for everything that a gateway reaches, so that one can be tried alone: two instances,
+// Command fakebackends stands in for everything that a gateway reaches, so that one can be tried alone: two instances,
 // discovery and the platform, at the addresses of examples/gateway.json. With "ask KEY" it is a client instead,
 // which sends the gateway one read and prints the answer.
 package main
--- a/internal/mirror/mirror.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -1,14 +1,14 @@
-// Package mirror decides from which mirror a file is fetched, when another is tried, and when a fetch is given up. It
+// Package mirrorpool decides from which mirror a file is fetched, when another is tried, and when a fetch is given up. It
 // does no I/O and reads no clock: a driver obeys its steps and tells what came. Every fetch gets exactly one final
 // outcome, before its time is up.
-package mirror
+package mirrorpool
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"laurelring/internal/chance"
+	"laurelring/internal/seededrand"
 )
 
 // Limits bound each fetch, and all together.
@@ -71,14 +71,14 @@
 type Pool struct {
 	limits  Limits
 	mirrors []*Mirror
-	chance  *chance.Chance
+	chance  *seededrand.Chance
 	spent   float64 // bytes of the budget, running off with time
 	spentAt int64
 }
 
 // NewPool takes the mirrors' names in the operator's order and a seed, by which gateways spread over them.
 func NewPool(names []string, seed uint64, limits Limits) *Pool {
-	p := &Pool{limits: limits, chance: chance.New(seed)}
+	p := &Pool{limits: limits, chance: seededrand.New(seed)}
 	for _, name := range names {
 		p.mirrors = append(p.mirrors, &Mirror{Name: name})
 	}
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 const (
@@ -116,9 +116,9 @@
 // Decode reads a client's command: its op type, found by the words that ask for it, its key as a number, its
 // id, how long the client waits, and how the command is worded for an instance that is told how long the
 // gateway will wait. What no instance could use is an error.
-func Decode(args [][]byte, ops map[string]*choice.OpType) (op *choice.OpType, key uint64, id string, left int64,
+func Decode(args [][]byte, ops map[string]*decision.OpType) (op *decision.OpType, key uint64, id string, left int64,
 	again func(within int64) []byte, err error) {
-	no := func(why string) (*choice.OpType, uint64, string, int64, func(int64) []byte, error) {
+	no := func(why string) (*decision.OpType, uint64, string, int64, func(int64) []byte, error) {
 		return nil, 0, "", 0, nil, errors.New(why)
 	}
 	most := 4
--- a/internal/protocol/desk.go
+++ b/internal/protocol/desk.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 // LineMost is the longest line that the platform and the gateway send each other.
@@ -41,7 +41,7 @@
 func Listen(id int) []byte { return call(id, "listen", nil) }
 
 // Ballot is the call that casts a vote.
-func Ballot(id int, v choice.Vote) []byte {
+func Ballot(id int, v decision.Vote) []byte {
 	return call(id, "verdict", map[string]any{"release": v.Build, "tranche": v.Stage, "ruling": rulings[v.Verdict]})
 }
 
@@ -57,8 +57,8 @@
 // Desk reads a line of the platform. News, or the state that answers a vote, goes to told; the answer to
 // the call with an id goes to answered, before its state. What cannot be read is an error; a sign of life
 // is nothing.
-func Desk(line []byte, told func(build, stage int, phase choice.Phase, most float64, since int64),
-	answered func(id int, how choice.Outcome)) error {
+func Desk(line []byte, told func(build, stage int, phase decision.Phase, most float64, since int64),
+	answered func(id int, how decision.Outcome)) error {
 	if !gjson.ValidBytes(line) {
 		return errors.New("the line is not JSON")
 	}
@@ -76,12 +76,12 @@
 		return errors.New("the answer has no id")
 	}
 	if fault := root.Get("error"); fault.Exists() {
-		how := choice.Errored
+		how := decision.Errored
 		switch fault.Get("message").Str {
 		case "Throttling":
-			how = choice.Rejected
+			how = decision.Rejected
 		case "ConditionFailed":
-			how = choice.Unsent
+			how = decision.Unsent
 		case "InternalFailure", "ValidationError":
 		default:
 			return errors.New("the answer holds an unknown error")
@@ -91,22 +91,22 @@
 	}
 	result := root.Get("result")
 	if result.Type == gjson.True {
-		answered(int(id.Num), choice.Acked)
+		answered(int(id.Num), decision.Acked)
 		return nil
 	}
 	var state func()
-	if err := News(result, func(build, stage int, phase choice.Phase, most float64, since int64) {
+	if err := News(result, func(build, stage int, phase decision.Phase, most float64, since int64) {
 		state = func() { told(build, stage, phase, most, since) }
 	}); err != nil {
 		return err
 	}
-	answered(int(id.Num), choice.Acked)
+	answered(int(id.Num), decision.Acked)
 	state()
 	return nil
 }
 
 // News reads where the newest build stands.
-func News(v gjson.Result, told func(build, stage int, phase choice.Phase, most float64, since int64)) error {
+func News(v gjson.Result, told func(build, stage int, phase decision.Phase, most float64, since int64)) error {
 	for _, name := range []string{"release", "tranche", "exposure", "old_ms"} {
 		if v.Get(name).Type != gjson.Number {
 			return fmt.Errorf("the news lack %q", name)
@@ -116,7 +116,7 @@
 	if phase == len(modes) {
 		return errors.New(`the news lack "mode"`)
 	}
-	told(int(v.Get("release").Num), int(v.Get("tranche").Num), choice.Phase(phase), v.Get("exposure").Num,
+	told(int(v.Get("release").Num), int(v.Get("tranche").Num), decision.Phase(phase), v.Get("exposure").Num,
 		asNs(v.Get("old_ms").Num))
 	return nil
 }
--- a/internal/protocol/facts.go
+++ b/internal/protocol/facts.go
@@ -6,7 +6,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 // Facts reads JSON by the names of its fields and keeps the first that is missing or wrong; unknown ones are
@@ -75,41 +75,41 @@
 
 func asNs(ms float64) int64 { return int64(math.Round(max(-4e12, min(4e12, ms)) * 1e6)) }
 
-func kindOf(word string) (choice.Kind, bool) {
+func kindOf(word string) (decision.Kind, bool) {
 	switch word {
 	case "repeatable":
-		return choice.Redeliverable, true
+		return decision.Redeliverable, true
 	case "by_key":
-		return choice.Deduplicated, true
+		return decision.Deduplicated, true
 	}
-	return choice.AtMostOnce, word == "once"
+	return decision.AtMostOnce, word == "once"
 }
 
-func groupOf(word string) (choice.Group, bool) {
+func groupOf(word string) (decision.Group, bool) {
 	switch word {
 	case "zone":
-		return choice.GroupZone, true
+		return decision.GroupZone, true
 	case "cell":
-		return choice.GroupCell, true
+		return decision.GroupCell, true
 	}
-	return choice.GroupAll, word == "" || word == "all"
+	return decision.GroupAll, word == "" || word == "all"
 }
 
-func controlOf(word string) (choice.Control, bool) {
+func controlOf(word string) (decision.Control, bool) {
 	switch word {
 	case "any":
-		return choice.ControlAny, true
+		return decision.ControlAny, true
 	case "share":
-		return choice.ControlShare, true
+		return decision.ControlShare, true
 	}
-	return choice.ControlClock, word == "timer"
+	return decision.ControlClock, word == "timer"
 }
 
 // Gateway starts a gateway from its settings, with its op types and tenants in their order.
-func (f *Facts) Gateway(seed uint64) (*choice.Gateway, []*choice.OpType, []*choice.Tenant) {
-	var ops []*choice.OpType
-	var tenants []*choice.Tenant
-	g := choice.New(seed, f.count("rank"), f.count("balancers"), f.count("locality"), f.ns("period_ms"))
+func (f *Facts) Gateway(seed uint64) (*decision.Gateway, []*decision.OpType, []*decision.Tenant) {
+	var ops []*decision.OpType
+	var tenants []*decision.Tenant
+	g := decision.New(seed, f.count("rank"), f.count("balancers"), f.count("locality"), f.ns("period_ms"))
 	for i, lane := range f.list("lanes").Array() {
 		kind, ok := kindOf(f.get(lane, "repeat", gjson.String).Str)
 		group, in := groupOf(lane.Get("dedup_scope").Str)
@@ -148,7 +148,7 @@
 	var all []string
 	for _, lane := range f.list("lanes").Array() {
 		command := "API.WRITE"
-		if kind, _ := kindOf(lane.Get("repeat").Str); kind == choice.Redeliverable {
+		if kind, _ := kindOf(lane.Get("repeat").Str); kind == decision.Redeliverable {
 			command = "API.READ"
 		}
 		all = append(all, asks(command, f.get(lane, "name", gjson.String).Str))
@@ -182,7 +182,7 @@
 	return longest
 }
 
-// ConnectWithin, IdleFor, VoteWithin and AskWithin are times that the drivers keep.
+// ConnectWithin is how long a connection to an endpoint may take to come up.
 func (f *Facts) ConnectWithin() int64 { return f.ns("limits.connect_timeout_ms") }
 
 // IdleFor is how long an idle connection to an instance may stand.
--- a/internal/protocol/launch.go
+++ b/internal/protocol/launch.go
@@ -20,7 +20,7 @@
 	return &Launch{f}, nil
 }
 
-// Name, Listen and Discovery are the gateway's name, the address of its clients and that of the list.
+// Name is the gateway's name.
 func (l *Launch) Name() string { return l.word("name") }
 
 // Listen is where clients connect.
--- a/internal/protocol/reply.go
+++ b/internal/protocol/reply.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 // ValueMost is the size of the largest value.
@@ -38,7 +38,7 @@
 // Next reads on in what the buffer holds. Once a reply is whole it gives how the delivery ended, the value
 // and the load report, both copied, and drops the reply from the buffer. An error is damage: nothing that
 // follows can be trusted.
-func (r *Reply) Next(b *Buffer) (how choice.Outcome, value, load []byte, done bool, err error) {
+func (r *Reply) Next(b *Buffer) (how decision.Outcome, value, load []byte, done bool, err error) {
 	for {
 		data := b.Bytes()
 		line, size, err := lineOf(data[r.at:])
@@ -82,12 +82,12 @@
 }
 
 // done gives a whole reply and drops it from the buffer.
-func (r *Reply) done(b *Buffer) (how choice.Outcome, value, load []byte, done bool, err error) {
+func (r *Reply) done(b *Buffer) (how decision.Outcome, value, load []byte, done bool, err error) {
 	data := b.Bytes()
 	load = bytes.Clone(data[r.load.from:r.load.to])
-	how = choice.Errored // a null is no value
+	how = decision.Errored // a null is no value
 	if r.value.from > 0 {
-		how, value = choice.Acked, bytes.Clone(data[r.value.from:r.value.to])
+		how, value = decision.Acked, bytes.Clone(data[r.value.from:r.value.to])
 	}
 	r.end(b, 0)
 	return how, value, load, true, nil
@@ -133,12 +133,12 @@
 
 // refusal reads an error line: only one that says busy proves that the command never ran. A load report may
 // stand last. A line that begins otherwise is no instance's.
-func refusal(line string) (choice.Outcome, []byte, error) {
+func refusal(line string) (decision.Outcome, []byte, error) {
 	word, _, _ := strings.Cut(line, " ")
-	how := choice.Errored
+	how := decision.Errored
 	switch word {
 	case "BUSY":
-		how = choice.Rejected
+		how = decision.Rejected
 	case "ERR", "SYNTAX", "NOPERM":
 	default:
 		return 0, nil, errDamaged
--- a/internal/protocol/totals.go
+++ b/internal/protocol/totals.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"math"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 // The first byte of a message between gateways tells what it is; others are passed over.
@@ -20,7 +20,7 @@
 
 // PackTotals lays a gateway's running totals and sights out as a message to its peers. Sights beyond the
 // longest message are left out: those with losses come first.
-func PackTotals(t *choice.Totals, id func(*choice.Instance) uint32) []byte {
+func PackTotals(t *decision.Totals, id func(*decision.Instance) uint32) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{totalsMark}, uint64(t.At))
 	b = binary.LittleEndian.AppendUint16(b, uint16(t.Build))
 	b = append(b, uint8(len(t.Cells)), 0)
@@ -44,11 +44,11 @@
 }
 
 // UnpackTotals reads such a message; nil for anything else. Sights of machines not listed here are left out.
-func UnpackTotals(text []byte, from int, named func(uint32) *choice.Instance) *choice.Totals {
+func UnpackTotals(text []byte, from int, named func(uint32) *decision.Instance) *decision.Totals {
 	if len(text) < 13 || text[0] != totalsMark {
 		return nil
 	}
-	t := &choice.Totals{From: from, At: int64(binary.LittleEndian.Uint64(text[1:])),
+	t := &decision.Totals{From: from, At: int64(binary.LittleEndian.Uint64(text[1:])),
 		Build: int(binary.LittleEndian.Uint16(text[9:])), Cells: make([]uint32, text[11])}
 	rest, sights := text[13:], int(text[12])
 	for i := range t.Cells {
@@ -62,7 +62,7 @@
 		return nil
 	}
 	for ; len(rest) > 0; rest = rest[sightSize:] {
-		one := choice.Sight{Of: named(binary.LittleEndian.Uint32(rest)), Busy: float64(rest[4]) / 100,
+		one := decision.Sight{Of: named(binary.LittleEndian.Uint32(rest)), Busy: float64(rest[4]) / 100,
 			Acked: int(rest[5]), Lost: int(rest[6])}
 		if rest[4] == noLoad {
 			one.Busy = -1
@@ -75,7 +75,7 @@
 }
 
 // PackFinding lays out what a voter tells the others.
-func PackFinding(f *choice.Finding, id func(*choice.Instance) uint32) []byte {
+func PackFinding(f *decision.Finding, id func(*decision.Instance) uint32) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{findingMark}, uint64(f.At))
 	b = binary.LittleEndian.AppendUint16(b, uint16(f.Build))
 	b = append(b, uint8(f.Stage), uint8(f.Verdict))
@@ -87,13 +87,13 @@
 }
 
 // UnpackFinding reads such a message; nil for anything else.
-func UnpackFinding(text []byte, from int, named func(uint32) *choice.Instance) *choice.Finding {
+func UnpackFinding(text []byte, from int, named func(uint32) *decision.Instance) *decision.Finding {
 	if len(text) < 17 || len(text)%4 != 1 || text[0] != findingMark ||
-		choice.Verdict(text[12]) > choice.VoteBack {
+		decision.Verdict(text[12]) > decision.VoteBack {
 		return nil
 	}
-	f := &choice.Finding{From: from, At: int64(binary.LittleEndian.Uint64(text[1:])),
-		Build: int(binary.LittleEndian.Uint16(text[9:])), Stage: int(text[11]), Verdict: choice.Verdict(text[12]),
+	f := &decision.Finding{From: from, At: int64(binary.LittleEndian.Uint64(text[1:])),
+		Build: int(binary.LittleEndian.Uint16(text[9:])), Stage: int(text[11]), Verdict: decision.Verdict(text[12]),
 		Work: float64(math.Float32frombits(binary.LittleEndian.Uint32(text[13:])))}
 	for rest := text[17:]; len(rest) > 0; rest = rest[4:] {
 		if it := named(binary.LittleEndian.Uint32(rest)); it != nil {
--- a/internal/protocol/views.go
+++ b/internal/protocol/views.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"time"
 
-	"laurelring/internal/membership"
+	"laurelring/decision/gossip"
 )
 
 const (
@@ -19,22 +19,22 @@
 const ViewEach = (DatagramMost - viewHead) / numberSize
 
 // PackQuery lays out a query for peers.
-func PackQuery(q membership.Query) []byte {
+func PackQuery(q gossip.Query) []byte {
 	b := binary.AppendUvarint([]byte{queryMark}, uint64(q.Revision))
 	return binary.AppendUvarint(b, toMs(q.Age))
 }
 
 // UnpackQuery reads such a message and tells whether it is one.
-func UnpackQuery(text []byte) (membership.Query, bool) {
+func UnpackQuery(text []byte) (gossip.Query, bool) {
 	if len(text) == 0 || text[0] != queryMark {
-		return membership.Query{}, false
+		return gossip.Query{}, false
 	}
 	revision, age, rest, ok := revisionAndAge(text[1:])
-	return membership.Query{Revision: revision, Age: age}, ok && len(rest) == 0
+	return gossip.Query{Revision: revision, Age: age}, ok && len(rest) == 0
 }
 
 // PackView lays out a part of a view for peers.
-func PackView(v membership.View) []byte {
+func PackView(v gossip.View) []byte {
 	b := binary.AppendUvarint([]byte{viewMark}, uint64(v.Revision))
 	b = binary.AppendUvarint(b, toMs(v.Age))
 	b = append(b, uint8(v.Part), uint8(v.Parts))
@@ -45,15 +45,15 @@
 }
 
 // UnpackView reads such a message and tells whether it is one.
-func UnpackView(text []byte) (membership.View, bool) {
+func UnpackView(text []byte) (gossip.View, bool) {
 	if len(text) == 0 || text[0] != viewMark {
-		return membership.View{}, false
+		return gossip.View{}, false
 	}
 	revision, age, rest, ok := revisionAndAge(text[1:])
 	if !ok || len(rest) < 2 || (len(rest)-2)%numberSize != 0 {
-		return membership.View{}, false
+		return gossip.View{}, false
 	}
-	v := membership.View{Revision: revision, Age: age, Part: int(rest[0]), Parts: int(rest[1])}
+	v := gossip.View{Revision: revision, Age: age, Part: int(rest[0]), Parts: int(rest[1])}
 	for rest = rest[2:]; len(rest) > 0; rest = rest[numberSize:] {
 		v.Ready = append(v.Ready, binary.LittleEndian.Uint32(rest))
 	}
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"laurelring/choice"
-	"laurelring/internal/membership"
+	"laurelring/decision"
+	"laurelring/decision/gossip"
 	"laurelring/internal/protocol"
 )
 
 // instance is one that the list has named.
 type instance struct {
-	it     *choice.Instance
+	it     *decision.Instance
 	number uint32          // of its id, in messages between gateways
 	listed protocol.Member // as discovery last listed it
 	goneAt int64           // when it went; 0 while it is listed
@@ -38,12 +38,12 @@
 	confirmedAt int64 // when discovery last confirmed it; 0 before it first has
 	failures    int   // calls that have failed since
 	trusted     bool  // the module goes by the list, for the log
-	exchange    *membership.Exchange
+	exchange    *gossip.Exchange
 	ahead       *peerView // nil where no peer's view is newer
 }
 
 // Share has this gateway exchange views of the list with its peers. It is called before Run.
-func (r *Router) Share(exchange *membership.Exchange) { r.list.exchange = exchange }
+func (r *Router) Share(exchange *gossip.Exchange) { r.list.exchange = exchange }
 
 // Listed tells an answer of discovery, or the list as it was known at the start; it gives the revision. A list that was
 // asked for anew, from no revision on, may be of an older one than held: discovery came back with what it had before.
@@ -61,7 +61,7 @@
 	r.list.revision = list.Revision
 	current := cached || r.list.exchange == nil || r.list.exchange.Confirmed(list.Revision, anew, now)
 	caughtUp := current && r.dropView(anew)
-	named := map[*choice.Instance]bool{}
+	named := map[*decision.Instance]bool{}
 	for _, member := range list.Members {
 		i := r.instance(member.ID)
 		named[i.it] = true
@@ -95,7 +95,7 @@
 		member.StartedAt, member.Build = i.listed.StartedAt, i.listed.Build
 	}
 	i.listed, i.goneAt = member, 0
-	i.incarnation = membership.Incarnation(member.ID, member.StartedAt, member.Build)
+	i.incarnation = gossip.Incarnation(member.ID, member.StartedAt, member.Build)
 	i.departed = r.list.ahead != nil && !r.list.ahead.ready[i.incarnation]
 	if !member.Present {
 		i.goneAt = now
@@ -113,7 +113,7 @@
 }
 
 // takeOnly tells the module that no others than those named are listed.
-func (r *Router) takeOnly(named map[*choice.Instance]bool, now int64) {
+func (r *Router) takeOnly(named map[*decision.Instance]bool, now int64) {
 	r.gateway.ToldOnly(named, now)
 	for _, i := range r.instances {
 		if !named[i.it] && i.goneAt == 0 {
@@ -230,7 +230,7 @@
 }
 
 // learn goes by a peer's view: instances that it lacks have drained or gone since the revision that is held.
-func (r *Router) learn(learned *membership.Learned, now int64) {
+func (r *Router) learn(learned *gossip.Learned, now int64) {
 	if learned.Ready != nil {
 		r.list.ahead = &peerView{learned.Revision, learned.Ready}
 		departed := 0
@@ -260,13 +260,13 @@
 	var ready []uint32
 	for _, reply := range due.Replies {
 		if !reply.Whole {
-			r.outside.Post(reply.To, protocol.PackView(membership.View{Revision: reply.Revision, Age: reply.Age}))
+			r.outside.Post(reply.To, protocol.PackView(gossip.View{Revision: reply.Revision, Age: reply.Age}))
 			continue
 		}
 		if ready == nil {
 			ready = r.readyIncarnations()
 		}
-		for _, view := range membership.Split(reply.Revision, reply.Age, ready, protocol.ViewEach) {
+		for _, view := range gossip.Split(reply.Revision, reply.Age, ready, protocol.ViewEach) {
 			r.outside.Post(reply.To, protocol.PackView(view))
 		}
 	}
@@ -304,7 +304,7 @@
 func (r *Router) instance(id string) *instance {
 	i := r.instances[id]
 	if i == nil {
-		i = &instance{it: &choice.Instance{}, number: numberOf(id), listed: protocol.Member{ID: id}}
+		i = &instance{it: &decision.Instance{}, number: numberOf(id), listed: protocol.Member{ID: id}}
 		r.instances[id], r.known[i.it], r.numbered[i.number] = i, i, i.it
 	}
 	return i
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"laurelring/choice"
+	"laurelring/decision"
 	"laurelring/internal/protocol"
 )
 
@@ -35,10 +35,10 @@
 // Outside is what the router has done by others. None of its calls waits.
 type Outside struct {
 	Send func(address string, until time.Time, words func(within int64) []byte,
-		ended func(how choice.Outcome, value, load []byte)) Delivery
+		ended func(how decision.Outcome, value, load []byte)) Delivery
 	Drop  func(address string)
 	Post  func(to int, text []byte) // to all gateways where the number is below 0
-	Vote  func(choice.Vote)
+	Vote  func(decision.Vote)
 	Watch func()
 	Build func(build int) // the list names a build that it has not named for long; may be nil
 }
@@ -54,19 +54,19 @@
 
 // Router keeps the commands in hand and the timers.
 type Router struct {
-	gateway *choice.Gateway
+	gateway *decision.Gateway
 	busy    string // the field of a load report that tells how busy an instance is
 	outside Outside
 	events  chan func(now int64)
 	done    chan struct{} // closed at the end
 	clock   func() int64
 
-	commands  map[*choice.Command]*inHand
+	commands  map[*decision.Command]*inHand
 	ids       map[string]*inHand
 	clients   map[Client]*inHand
 	instances map[string]*instance
-	numbered  map[uint32]*choice.Instance
-	known     map[*choice.Instance]*instance
+	numbered  map[uint32]*decision.Instance
+	known     map[*decision.Instance]*instance
 	endsAt    int64        // when the gateway is ended for good; 0 while it is not to
 	builds    []int        // listed lately
 	waiting   atomic.Int64 // commands that are held
@@ -82,16 +82,16 @@
 // inHand is a command until its final answer is given and nothing of it is out.
 type inHand struct {
 	id     string
-	cmd    *choice.Command
+	cmd    *decision.Command
 	client Client // nil once it is answered or gone
 	words  func(within int64) []byte
-	out    map[*choice.Delivery]*flight
+	out    map[*decision.Delivery]*flight
 }
 
 // flight is a delivery that is out.
 type flight struct {
 	of     *inHand
-	dl     *choice.Delivery
+	dl     *decision.Delivery
 	on     Delivery
 	sentAt int64
 	until  int64
@@ -100,11 +100,11 @@
 }
 
 // New makes a router of a gateway; the clock gives whole nanoseconds and never goes back.
-func New(g *choice.Gateway, busy string, clock func() int64, outside Outside) *Router {
+func New(g *decision.Gateway, busy string, clock func() int64, outside Outside) *Router {
 	return &Router{gateway: g, busy: busy, outside: outside, clock: clock, events: make(chan func(int64), eventsMost), done: make(chan struct{}),
-		commands: map[*choice.Command]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
-		instances: map[string]*instance{}, numbered: map[uint32]*choice.Instance{},
-		known: map[*choice.Instance]*instance{}, trace: newTrace(), list: lists{trusted: true}}
+		commands: map[*decision.Command]*inHand{}, ids: map[string]*inHand{}, clients: map[Client]*inHand{},
+		instances: map[string]*instance{}, numbered: map[uint32]*decision.Instance{},
+		known: map[*decision.Instance]*instance{}, trace: newTrace(), list: lists{trusted: true}}
 }
 
 // Run tells, asks and obeys until the context ends.
@@ -178,7 +178,7 @@
 
 // Command tells of a command that a client sent. One by an id that another in hand bears is no command: it
 // would be taken for the other.
-func (r *Router) Command(op *choice.OpType, key uint64, id string, left int64, words func(within int64) []byte,
+func (r *Router) Command(op *decision.OpType, key uint64, id string, left int64, words func(within int64) []byte,
 	client Client) {
 	came := r.clock() // what it waits here is the client's time too
 	r.events <- func(now int64) {
@@ -186,7 +186,7 @@
 			client.Failed()
 			return
 		}
-		c := &inHand{id: id, client: client, words: words, out: map[*choice.Delivery]*flight{}}
+		c := &inHand{id: id, client: client, words: words, out: map[*decision.Delivery]*flight{}}
 		if left -= now - came; r.endsAt > 0 {
 			left = min(left, r.endsAt-now)
 		}
@@ -249,7 +249,7 @@
 func (r *Router) Busy() bool { return r.waiting.Load() > 0 }
 
 // News tells where the newest build stands.
-func (r *Router) News(build, stage int, phase choice.Phase, most float64, since int64) {
+func (r *Router) News(build, stage int, phase decision.Phase, most float64, since int64) {
 	r.events <- func(now int64) {
 		if here := [3]int{build, stage, int(phase)}; here != r.stands {
 			slog.Info("news", "build", build, "stage", stage, "phase", phase, "cap", most)
@@ -261,9 +261,9 @@
 }
 
 // Voted tells the answer to a vote.
-func (r *Router) Voted(how choice.Outcome) {
+func (r *Router) Voted(how decision.Outcome) {
 	r.events <- func(now int64) {
-		if how != choice.Acked {
+		if how != decision.Acked {
 			slog.Warn("a vote did not count", "outcome", how)
 		}
 		r.gateway.ToldVote(how, now)
@@ -285,9 +285,9 @@
 }
 
 // obey carries out what was decided on a command.
-func (r *Router) obey(c *inHand, d choice.Decision, now int64) {
+func (r *Router) obey(c *inHand, d decision.Decision, now int64) {
 	switch d.Act {
-	case choice.Send:
+	case decision.Send:
 		f := &flight{of: c, dl: d.Delivery, sentAt: now, until: now + d.For, order: r.order}
 		r.order++
 		c.out[d.Delivery] = f
@@ -295,15 +295,15 @@
 		to := r.known[d.To]
 		r.trace.sent(c.id, to, r.list.revision, d.Delivery.Number)
 		f.on = r.outside.Send(to.listed.Address, time.Now().Add(time.Duration(d.For)), c.words,
-			func(how choice.Outcome, value, load []byte) {
+			func(how decision.Outcome, value, load []byte) {
 				r.events <- func(now int64) { r.ended(f, how, value, load, now) }
 			})
-	case choice.Nack:
+	case decision.Nack:
 		if c.client != nil {
 			r.trace.answered(c.id, "refused", d.Reason)
 			c.client.Nacked(d.After)
 		}
-	case choice.Fail:
+	case decision.Fail:
 		if c.client != nil {
 			r.trace.answered(c.id, "failed", d.Reason)
 			c.client.Failed()
@@ -313,7 +313,7 @@
 }
 
 // ended tells how a delivery ended, unless it was given up before.
-func (r *Router) ended(f *flight, how choice.Outcome, value, load []byte, now int64) {
+func (r *Router) ended(f *flight, how decision.Outcome, value, load []byte, now int64) {
 	if f.of.out[f.dl] != f {
 		return
 	}
@@ -322,16 +322,16 @@
 	if busy, ok := protocol.Load(load, r.busy); ok {
 		r.gateway.ToldLoad(f.dl.To, busy, now)
 	}
-	if how == choice.Acked && value == nil {
-		how = choice.Errored // it answers something else
+	if how == decision.Acked && value == nil {
+		how = decision.Errored // it answers something else
 	}
-	if how == choice.Acked {
+	if how == decision.Acked {
 		r.gateway.ToldServed(f.dl, now-int64(f.on.ConnectionAge()))
 	}
 	settled := f.of.client == nil
 	r.trace.ended(f.of.id, r.known[f.dl.To], how, now-f.sentAt)
-	if how == choice.Acked && !settled {
-		r.trace.answered(f.of.id, "served", choice.NoReason)
+	if how == decision.Acked && !settled {
+		r.trace.answered(f.of.id, "served", decision.NoReason)
 		f.of.client.Acked(value)
 	}
 	d := r.gateway.After(f.dl, how, now-f.sentAt, settled, now)
@@ -339,7 +339,7 @@
 }
 
 // giveUp ends a delivery by the gateway's own will.
-func (r *Router) giveUp(f *flight, how choice.Outcome, now int64) {
+func (r *Router) giveUp(f *flight, how decision.Outcome, now int64) {
 	reached, ended := f.on.GiveUp()
 	if ended {
 		f.until = now + int64(time.Millisecond)
@@ -347,7 +347,7 @@
 		return
 	}
 	if !reached {
-		how = choice.Unsent
+		how = decision.Unsent
 	}
 	r.ended(f, how, nil, nil, now)
 }
@@ -363,14 +363,14 @@
 	}
 	slices.SortFunc(late, func(a, b *flight) int { return a.order - b.order })
 	for _, f := range late {
-		r.ended(f, choice.Unsent, nil, nil, now)
+		r.ended(f, decision.Unsent, nil, nil, now)
 	}
 }
 
 // expire gives up what has been out for as long as it may be.
 func (r *Router) expire(now int64) {
 	for len(r.due) > 0 && r.due[0].until <= now {
-		r.giveUp(r.due[0], choice.TimedOut, now)
+		r.giveUp(r.due[0], decision.TimedOut, now)
 	}
 }
 
@@ -387,7 +387,7 @@
 	}
 	for _, dl := range due.Cancel {
 		if c := r.commands[dl.Cmd]; c != nil && c.out[dl] != nil {
-			r.giveUp(c.out[dl], choice.Withdrawn, now)
+			r.giveUp(c.out[dl], decision.Withdrawn, now)
 		}
 	}
 	if due.Totals != nil {
@@ -428,14 +428,14 @@
 	return h.Sum32()
 }
 
-func (r *Router) number(it *choice.Instance) uint32 {
+func (r *Router) number(it *decision.Instance) uint32 {
 	if i := r.known[it]; i != nil {
 		return i.number
 	}
 	return 0
 }
 
-func (r *Router) named(number uint32) *choice.Instance { return r.numbered[number] }
+func (r *Router) named(number uint32) *decision.Instance { return r.numbered[number] }
 
 // timers is a heap of what is out, by the moment until which it may be.
 type timers []*flight
--- a/internal/routing/trace.go
+++ b/internal/routing/trace.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"laurelring/choice"
+	"laurelring/decision"
 )
 
 // trace writes what happens to each request to the log, at level debug: when it came, each delivery with the list it
@@ -28,7 +28,7 @@
 	}
 }
 
-func (t trace) ended(id string, to *instance, how choice.Outcome, took int64) {
+func (t trace) ended(id string, to *instance, how decision.Outcome, took int64) {
 	if t.on {
 		name := ""
 		if to != nil { // it may have been forgotten meanwhile
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t trace) answered(id, how string, why choice.Reason) {
+func (t trace) answered(id, how string, why decision.Reason) {
 	if t.on {
 		slog.Debug("a request has its final answer", "id", id, "answer", how, "reason", why)
 	}
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"laurelring/internal/chance"
+	"laurelring/internal/seededrand"
 )
 
 // Limits are the budgets of all jobs together.
@@ -44,7 +44,7 @@
 // Scheduler keeps the jobs. It is owned by one goroutine.
 type Scheduler struct {
 	limits  Limits
-	chance  *chance.Chance
+	chance  *seededrand.Chance
 	jobs    []*Job
 	added   int
 	running int
@@ -59,7 +59,7 @@
 
 // New takes the limits and a seed, by which gateways come apart.
 func New(seed uint64, limits Limits) *Scheduler {
-	return &Scheduler{chance: chance.New(seed), limits: limits}
+	return &Scheduler{chance: seededrand.New(seed), limits: limits}
 }
 
 // Add takes a job in: the first time is by lot within its period, and each further one up to a tenth of it later.
--- a/internal/chance/chance.go
+++ b/internal/seededrand/seededrand.go
@@ -1,5 +1,5 @@
-// Package chance draws from a seed and a counter, so that gateways that start or lose a party together come apart.
-package chance
+// Package seededrand draws from a seed and a counter, so that gateways that start or lose a party together come apart.
+package seededrand
 
 import (
 	"encoding/binary"
--- a/internal/chance/chance_test.go
+++ b/internal/seededrand/seededrand_test.go
@@ -1,4 +1,4 @@
-package chance
+package seededrand
 
 import (
 	"testing"
--- a/internal/simhost/bench_test.go
+++ b/internal/simulatoradapter/bench_test.go
@@ -1,4 +1,4 @@
-package simhost
+package simulatoradapter
 
 import (
 	"bytes"
--- a/internal/simhost/events.go
+++ b/internal/simulatoradapter/events.go
@@ -1,31 +1,31 @@
-package simhost
+package simulatoradapter
 
 import (
 	"fmt"
 
-	"laurelring/choice"
+	"laurelring/decision"
 	"laurelring/internal/protocol"
 )
 
 // outcome reads how something ended; a word not known is taken for one that proves nothing.
-func outcome(code uint8) choice.Outcome {
+func outcome(code uint8) decision.Outcome {
 	switch code {
 	case 0:
-		return choice.Acked
+		return decision.Acked
 	case 8:
-		return choice.Rejected
+		return decision.Rejected
 	case 4:
-		return choice.TimedOut
+		return decision.TimedOut
 	case 14:
-		return choice.Unconnected
+		return decision.Unconnected
 	case 10:
-		return choice.Broken
+		return decision.Broken
 	case 1:
-		return choice.Withdrawn
+		return decision.Withdrawn
 	case 9:
-		return choice.Unsent
+		return decision.Unsent
 	}
-	return choice.Errored
+	return decision.Errored
 }
 
 // batch tells every event of a batch to the gateway it belongs to.
@@ -120,7 +120,7 @@
 		if opts&1 == 0 {
 			work = 0
 		}
-		var tenant *choice.Tenant
+		var tenant *decision.Tenant
 		if int(owner) < len(h.tenants) {
 			tenant = h.tenants[owner]
 		}
@@ -184,7 +184,7 @@
 			h.gateway.ToldVote(outcome(how), now)
 		}
 		if how == 0 {
-			h.gateway.ToldStage(int(build), int(wave), choice.Phase(min(course, 3)), most, since, now)
+			h.gateway.ToldStage(int(build), int(wave), decision.Phase(min(course, 3)), most, since, now)
 		}
 	case 12: // PERIOD_SUMS
 		c.take(2 + 1 + 4 + 4 + 8 + 8) // the module judges by what gateways see themselves
@@ -199,7 +199,7 @@
 	}
 }
 
-func (h *host) delivery(id uint32, hop uint8) *choice.Delivery {
+func (h *host) delivery(id uint32, hop uint8) *decision.Delivery {
 	if h == nil || h.commands[id] == nil {
 		return nil
 	}
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func (h *host) load(to *choice.Instance, values []float64, now int64) {
+func (h *host) load(to *decision.Instance, values []float64, now int64) {
 	if h.busyAt >= 0 && len(values) > h.busyAt {
 		h.gateway.ToldLoad(to, values[h.busyAt], now)
 	}
@@ -221,11 +221,11 @@
 		h.gateway.ToldListFailed(now)
 		return
 	}
-	named := map[*choice.Instance]bool{}
+	named := map[*decision.Instance]bool{}
 	for _, e := range lines {
 		it := h.instances[e.id]
 		if it == nil {
-			it = &choice.Instance{}
+			it = &decision.Instance{}
 			h.instances[e.id], h.ids[it] = it, e.id
 		}
 		named[it] = true
--- a/internal/simhost/serve.go
+++ b/internal/simulatoradapter/serve.go
@@ -1,4 +1,4 @@
-package simhost
+package simulatoradapter
 
 import (
 	"bufio"
@@ -7,25 +7,25 @@
 	"errors"
 	"io"
 
-	"laurelring/choice"
+	"laurelring/decision"
 	"laurelring/internal/protocol"
 )
 
 // held is a command in hand with the id the wire knows it by.
 type held struct {
 	id  uint32
-	cmd *choice.Command
+	cmd *decision.Command
 }
 
 // host is one gateway with what its side of the wire needs.
 type host struct {
-	gateway   *choice.Gateway
-	instances map[uint32]*choice.Instance
-	ids       map[*choice.Instance]uint32
+	gateway   *decision.Gateway
+	instances map[uint32]*decision.Instance
+	ids       map[*decision.Instance]uint32
 	commands  map[uint32]*held
-	inHand    map[*choice.Command]*held
-	ops       []*choice.OpType
-	tenants   []*choice.Tenant
+	inHand    map[*decision.Command]*held
+	ops       []*decision.OpType
+	tenants   []*decision.Tenant
 	busyAt    int    // the position of the load figure in a report, -1 for none
 	armed     int64  // when the nearest timer falls, 0 for none
 	handle    uint64 // the nearest timer's
@@ -55,15 +55,15 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &host{instances: map[uint32]*choice.Instance{}, ids: map[*choice.Instance]uint32{},
-		commands: map[uint32]*held{}, inHand: map[*choice.Command]*held{}}
+	h := &host{instances: map[uint32]*decision.Instance{}, ids: map[*decision.Instance]uint32{},
+		commands: map[uint32]*held{}, inHand: map[*decision.Command]*held{}}
 	h.gateway, h.ops, h.tenants = f.Gateway(seed)
 	_, h.busyAt = f.Busy()
 	return h, f.Err()
 }
 
-func (h *host) id(of *choice.Instance) uint32    { return h.ids[of] }
-func (h *host) named(id uint32) *choice.Instance { return h.instances[id] }
+func (h *host) id(of *decision.Instance) uint32    { return h.ids[of] }
+func (h *host) named(id uint32) *decision.Instance { return h.instances[id] }
 
 // Serve answers batches until the input ends; an error is a fault in what came in.
 func Serve(r io.Reader, w io.Writer) error {
@@ -167,21 +167,21 @@
 }
 
 // obey writes what was decided on a command.
-func (h *host) obey(it *held, d choice.Decision) {
+func (h *host) obey(it *held, d decision.Decision) {
 	if it == nil {
 		return
 	}
 	switch d.Act {
-	case choice.Send:
+	case decision.Send:
 		h.out.record(73)
 		h.out.u32(it.id)
 		h.out.u32(h.ids[d.To])
 		h.out.ms(d.For)
-	case choice.Nack:
+	case decision.Nack:
 		h.out.record(76)
 		h.out.u32(it.id)
 		h.out.ms(d.After)
-	case choice.Fail:
+	case decision.Fail:
 		h.out.record(66)
 		h.out.u32(it.id)
 	}
--- a/internal/simhost/wire.go
+++ b/internal/simulatoradapter/wire.go
@@ -1,6 +1,6 @@
-// Package simhost puts the decision module on the simulator's wire: it frames, turns ids into objects and
+// Package simulatoradapter puts the decision module on the simulator's wire: it frames, turns ids into objects and
 // units into nanoseconds, and keeps timers and the commands in hand. It decides nothing.
-package simhost
+package simulatoradapter
 
 import (
 	"bytes"
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -20,7 +20,7 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"laurelring/internal/trust"
+	"laurelring/internal/verifiedmetadata"
 )
 
 var (
@@ -48,8 +48,8 @@
 
 // state is all that is kept, in one file that is replaced whole.
 type state struct {
-	Records map[string]trust.Record `json:"records"`
-	Targets map[string]fetched      `json:"targets"`
+	Records map[string]verifiedmetadata.Record `json:"records"`
+	Targets map[string]fetched                 `json:"targets"`
 }
 
 type fetched struct {
@@ -68,7 +68,7 @@
 }
 
 func empty() state {
-	return state{Records: map[string]trust.Record{}, Targets: map[string]fetched{}}
+	return state{Records: map[string]verifiedmetadata.Record{}, Targets: map[string]fetched{}}
 }
 
 // Memory makes a store that forgets all at its end.
@@ -239,8 +239,8 @@
 }
 
 // Records gives all records, by their names.
-func (s *Store) Records() []trust.Record {
-	var all []trust.Record
+func (s *Store) Records() []verifiedmetadata.Record {
+	var all []verifiedmetadata.Record
 	for _, name := range slices.Sorted(maps.Keys(s.now.Records)) {
 		all = append(all, s.now.Records[name])
 	}
@@ -249,7 +249,7 @@
 
 // Put keeps records, all of them or none. A version that would go back is refused, unless the record says that it
 // may.
-func (s *Store) Put(some []trust.Record) error {
+func (s *Store) Put(some []verifiedmetadata.Record) error {
 	for _, r := range some {
 		if had, ok := s.now.Records[r.Name]; ok && !r.Anew && r.Bytes != nil && r.Version < had.Version {
 			return fmt.Errorf("%s: %w", r.Name, ErrBack)
@@ -277,7 +277,7 @@
 
 // Begin begins a target of so many bytes.
 func (s *Store) Begin(path string, length int64) (*Part, error) {
-	if !trust.SafePath(path) {
+	if !verifiedmetadata.SafePath(path) {
 		return nil, fmt.Errorf("%q leaves its folder", path)
 	}
 	if s.InMemory() {
@@ -330,7 +330,7 @@
 }
 
 // Commit puts the target into its place: before it there was the old one or none, after it the whole new one.
-func (p *Part) Commit(t *trust.Target) error {
+func (p *Part) Commit(t *verifiedmetadata.Target) error {
 	s := p.store
 	if p.memory != nil {
 		s.heldAll += p.memory.Len() - len(s.held[p.path])
@@ -354,7 +354,7 @@
 	return s.change(func(next *state) { next.Targets[p.path] = fetched{t.Length, sumOf(t)} })
 }
 
-func sumOf(t *trust.Target) []byte {
+func sumOf(t *verifiedmetadata.Target) []byte {
 	if h := t.Hashes["sha256"]; h != nil {
 		return h
 	}
@@ -372,7 +372,7 @@
 
 // Target gives the bytes of a target that was fetched. Whoever uses them verifies them anew.
 func (s *Store) Target(path string) (io.ReadCloser, error) {
-	if !trust.SafePath(path) {
+	if !verifiedmetadata.SafePath(path) {
 		return nil, fs.ErrNotExist
 	}
 	if s.InMemory() {
--- a/internal/transport/desk.go
+++ b/internal/transport/desk.go
@@ -7,19 +7,19 @@
 	"sync"
 	"time"
 
-	"laurelring/choice"
-	"laurelring/internal/chance"
+	"laurelring/decision"
 	"laurelring/internal/protocol"
+	"laurelring/internal/seededrand"
 )
 
 // Desk keeps a connection to the platform: it listens to what the platform tells and casts votes on it.
 type Desk struct {
 	within time.Duration
-	told   func(build, stage int, phase choice.Phase, most float64, since int64)
-	voted  func(how choice.Outcome)
+	told   func(build, stage int, phase decision.Phase, most float64, since int64)
+	voted  func(how decision.Outcome)
 	state  func(address string, why error) // without a reason it is heard
-	chance *chance.Chance
-	votes  chan choice.Vote
+	chance *seededrand.Chance
+	votes  chan decision.Vote
 	moved  chan struct{} // holds one once the address has changed
 	number int           // of the last call
 	heard  int           // the last call to listen that was answered
@@ -42,10 +42,10 @@
 // NewDesk takes the platform's address, how long a vote's answer is waited for, and whom to tell of news, of
 // how a vote ended, and of the connection's coming and going.
 func NewDesk(address string, within time.Duration,
-	told func(build, stage int, phase choice.Phase, most float64, since int64), voted func(how choice.Outcome),
-	state func(address string, why error), chance *chance.Chance) *Desk {
+	told func(build, stage int, phase decision.Phase, most float64, since int64), voted func(how decision.Outcome),
+	state func(address string, why error), chance *seededrand.Chance) *Desk {
 	return &Desk{address: address, within: within, told: told, voted: voted, state: state, chance: chance,
-		votes: make(chan choice.Vote, votesMost), moved: make(chan struct{}, 1)}
+		votes: make(chan decision.Vote, votesMost), moved: make(chan struct{}, 1)}
 }
 
 // Move has the platform heard at another address. Votes in hand are waited for where they were cast; those
@@ -70,11 +70,11 @@
 }
 
 // Vote casts a vote. It does not wait; a vote for which there is no room was not carried out.
-func (d *Desk) Vote(v choice.Vote) {
+func (d *Desk) Vote(v decision.Vote) {
 	select {
 	case d.votes <- v:
 	default:
-		go d.voted(choice.Unconnected)
+		go d.voted(decision.Unconnected)
 	}
 }
 
@@ -107,7 +107,7 @@
 	for {
 		select {
 		case <-d.votes:
-			d.voted(choice.Unconnected)
+			d.voted(decision.Unconnected)
 		case <-d.moved:
 			return
 		case <-again:
@@ -131,7 +131,7 @@
 	defer func() {
 		conn.Close()
 		for range votes {
-			d.voted(choice.TimedOut)
+			d.voted(decision.TimedOut)
 		}
 	}()
 	lines, broken, done := make(chan []byte), make(chan error, 1), make(chan struct{})
@@ -154,7 +154,7 @@
 			cast, leaveAt = nil, time.Now().Add(leaveFor)
 		case line := <-lines:
 			alive = time.Now()
-			err := protocol.Desk(line, d.told, func(id int, how choice.Outcome) {
+			err := protocol.Desk(line, d.told, func(id int, how decision.Outcome) {
 				if id == listening {
 					d.heard = id
 					d.state(address, nil)
@@ -175,14 +175,14 @@
 			text := protocol.Ballot(d.number, v)
 			conn.SetWriteDeadline(time.Now().Add(d.within))
 			if n, err := conn.Write(text); n < len(text) {
-				d.voted(choice.Unconnected)
+				d.voted(decision.Unconnected)
 				return err
 			}
 			votes = append(votes, waiting{d.number, time.Now().Add(d.within)})
 		case now := <-tick.C:
 			for len(votes) > 0 && now.After(votes[0].at) {
 				votes = votes[1:]
-				d.voted(choice.TimedOut)
+				d.voted(decision.TimedOut)
 			}
 			if cast == nil && now.After(leaveAt) {
 				return nil
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"laurelring/internal/chance"
 	"laurelring/internal/protocol"
+	"laurelring/internal/seededrand"
 )
 
 // Discovery watches the list of instances.
@@ -22,7 +22,7 @@
 	begun    func()
 	told     func(text []byte, anew bool) (revision int64, err error)
 	failed   func(error)
-	chance   *chance.Chance
+	chance   *seededrand.Chance
 	revision int64
 	anew     bool // the next call asks for all, from no revision on: discovery has come back with an older list
 	watching atomic.Bool
@@ -48,7 +48,7 @@
 // NewDiscovery takes the address, how long the list may go unasked, the revision that is known, and whom
 // to tell of a list that begins to come, of an answer, which gives its revision, or of a failure.
 func NewDiscovery(address string, wait time.Duration, revision int64, begun func(),
-	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *chance.Chance) *Discovery {
+	told func(text []byte, anew bool) (revision int64, err error), failed func(error), chance *seededrand.Chance) *Discovery {
 	wait = min(wait, waitMost)
 	return &Discovery{address: address, wait: wait, begun: begun, told: told, failed: failed, revision: revision, leave: func() {},
 		chance: chance,
--- a/internal/transport/instances.go
+++ b/internal/transport/instances.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"laurelring/choice"
+	"laurelring/decision"
 	"laurelring/internal/protocol"
 )
 
@@ -65,7 +65,7 @@
 	since time.Time
 	until time.Time
 	words func(within int64) []byte
-	ended func(how choice.Outcome, value, load []byte)
+	ended func(how decision.Outcome, value, load []byte)
 
 	mu    sync.Mutex
 	over  bool
@@ -76,7 +76,7 @@
 // Send starts a delivery, for which the gateway waits until the given time. What comes of it is told to
 // ended, on another goroutine, unless it was given up before.
 func (in *Instances) Send(address string, until time.Time, words func(within int64) []byte,
-	ended func(how choice.Outcome, value, load []byte)) *Sending {
+	ended func(how decision.Outcome, value, load []byte)) *Sending {
 	s := newSending(until, words, ended)
 	if l := in.takeIdle(address); l != nil {
 		go l.write(s, true)
@@ -88,7 +88,7 @@
 
 // newSending is a delivery that is decided now.
 func newSending(until time.Time, words func(within int64) []byte,
-	ended func(how choice.Outcome, value, load []byte)) *Sending {
+	ended func(how decision.Outcome, value, load []byte)) *Sending {
 	return &Sending{since: time.Now(), until: until, words: words, ended: ended}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // end tells the outcome, unless one was told or the delivery was given up.
-func (s *Sending) end(how choice.Outcome, value, load []byte) {
+func (s *Sending) end(how decision.Outcome, value, load []byte) {
 	if s.settle() {
 		s.ended(how, value, load)
 	}
@@ -155,19 +155,19 @@
 // open brings a connection up for a delivery.
 func (in *Instances) open(address string, s *Sending) {
 	if !in.share.take() {
-		s.end(choice.Unsent, nil, nil)
+		s.end(decision.Unsent, nil, nil)
 		return
 	}
 	conn, err := net.DialTimeout("tcp", address, in.connectWithin)
 	if err != nil {
 		in.share.give()
-		s.end(choice.Unconnected, nil, nil)
+		s.end(decision.Unconnected, nil, nil)
 		return
 	}
 	l := &link{in: in, address: address, openedAt: time.Now(), conn: conn.(*net.TCPConn)}
 	if l.raw, err = l.conn.SyscallConn(); err != nil {
 		l.close(err.Error())
-		s.end(choice.Unconnected, nil, nil)
+		s.end(decision.Unconnected, nil, nil)
 		return
 	}
 	go l.write(s, false)
@@ -194,7 +194,7 @@
 	l.conn.SetReadDeadline(time.Time{})
 	// Nothing but the writing itself comes after this look at the time: the process may stand still at any point.
 	if within <= 0 || time.Since(s.since) > l.in.connectWithin+heldUp {
-		s.end(choice.Unsent, nil, nil)
+		s.end(decision.Unsent, nil, nil)
 	}
 	if !s.begin(l) {
 		l.spare()
@@ -210,10 +210,10 @@
 		l.close(err.Error())
 		l.again(s, used)
 	case err != nil:
-		s.end(choice.Unconnected, nil, nil)
+		s.end(decision.Unconnected, nil, nil)
 		l.close(err.Error())
 	case closed:
-		s.end(choice.Broken, nil, nil)
+		s.end(decision.Broken, nil, nil)
 	case answered: // before it was written
 		l.in.giveIdle(l)
 	}
@@ -255,7 +255,7 @@
 	if used {
 		l.in.open(l.address, s)
 	} else {
-		s.end(choice.Unconnected, nil, nil)
+		s.end(decision.Unconnected, nil, nil)
 	}
 }
 
@@ -315,7 +315,7 @@
 	how, value, load, done, err := reply.Next(b)
 	if err != nil {
 		l.in.complaints.Complain("an instance sent a damaged reply", "address", l.address)
-		how, done = choice.Errored, true // it may have run, and the instance is there
+		how, done = decision.Errored, true // it may have run, and the instance is there
 	}
 	if !done {
 		return true
@@ -355,7 +355,7 @@
 		return
 	}
 	if !writing { // else write tells, which knows whether the last byte went out
-		s.end(choice.Broken, nil, nil)
+		s.end(decision.Broken, nil, nil)
 	}
 }
 
--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"laurelring/internal/schedule"
-	"laurelring/internal/trust"
+	"laurelring/internal/verifiedmetadata"
 )
 
 // Agent keeps trust fresh beside a gateway, in the background, and tells which builds may be taken. It decides neither
@@ -115,7 +115,7 @@
 		_, refused := a.client.Target(ctx, a.operator.target(build), a.operator.RefreshWithin(), &spent)
 		if a.bytes += spent.Bytes; refused != nil {
 			slog.Warn("a build is not trusted", "build", build, "cause", refused)
-			if refused.Reason == trust.Unavailable {
+			if refused.Reason == verifiedmetadata.Unavailable {
 				continue // what was told stands until its time is over
 			}
 		}
--- a/internal/tuf/client.go
+++ b/internal/tuf/client.go
@@ -16,15 +16,15 @@
 	"sync/atomic"
 	"time"
 
-	"laurelring/internal/mirror"
+	"laurelring/internal/mirrorpool"
 	"laurelring/internal/store"
-	"laurelring/internal/trust"
+	"laurelring/internal/verifiedmetadata"
 )
 
 // Client is one holder of trust. It is owned by one goroutine.
 type Client struct {
-	keeper *trust.Keeper
-	pool   *mirror.Pool
+	keeper *verifiedmetadata.Keeper
+	pool   *mirrorpool.Pool
 	store  *store.Store
 	http   *http.Client
 	now    func() int64 // the time of day, for expiry
@@ -32,17 +32,17 @@
 	watch  Watcher
 	unkept error // why the last change was not kept
 	drains atomic.Pointer[[]string]
-	left   []*trust.Refusal
+	left   []*verifiedmetadata.Refusal
 }
 
 const metadataFolder, targetFolder = "", "targets/"
 
 // New makes a client of a root that the operator trusts, with what the store has kept.
-func New(root []byte, limits trust.Limits, pool *mirror.Pool, kept *store.Store, now func() int64, watch Watcher) (*Client, error) {
+func New(root []byte, limits verifiedmetadata.Limits, pool *mirrorpool.Pool, kept *store.Store, now func() int64, watch Watcher) (*Client, error) {
 	if watch == nil {
 		watch = nobody{}
 	}
-	k, left := trust.New(root, limits, kept.Records())
+	k, left := verifiedmetadata.New(root, limits, kept.Records())
 	if k == nil {
 		return nil, left[0]
 	}
@@ -56,20 +56,20 @@
 
 // Watcher is told what a client does.
 type Watcher interface {
-	Refreshed(refused *trust.Refusal, spent Spent)
-	Fetched(refused *trust.Refusal, spent Spent)
-	Tried(mirror string, how mirror.How)
+	Refreshed(refused *verifiedmetadata.Refusal, spent Spent)
+	Fetched(refused *verifiedmetadata.Refusal, spent Spent)
+	Tried(mirror string, how mirrorpool.How)
 	Unkept()
 	Standing(s Status, now int64)
 }
 
 type nobody struct{}
 
-func (nobody) Refreshed(*trust.Refusal, Spent) {}
-func (nobody) Fetched(*trust.Refusal, Spent)   {}
-func (nobody) Tried(string, mirror.How)        {}
-func (nobody) Unkept()                         {}
-func (nobody) Standing(Status, int64)          {}
+func (nobody) Refreshed(*verifiedmetadata.Refusal, Spent) {}
+func (nobody) Fetched(*verifiedmetadata.Refusal, Spent)   {}
+func (nobody) Tried(string, mirrorpool.How)               {}
+func (nobody) Unkept()                                    {}
+func (nobody) Standing(Status, int64)                     {}
 
 // Close lets go of its connections; the store is its owner's.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
@@ -81,7 +81,7 @@
 func (c *Client) Drain(names []string) { c.drains.Store(&names) }
 
 // next asks the pool for a fetch's next step, by the mirrors that drain now.
-func (c *Client) next(f *mirror.Fetch) mirror.Step {
+func (c *Client) next(f *mirrorpool.Fetch) mirrorpool.Step {
 	if names := c.drains.Load(); names != nil {
 		c.pool.Drained(*names)
 	}
@@ -97,7 +97,7 @@
 
 // Refresh brings the metadata of the roles up to date within a time. A refusal says why what was trusted stands
 // instead.
-func (c *Client) Refresh(ctx context.Context, within time.Duration) (spent Spent, refused *trust.Refusal) {
+func (c *Client) Refresh(ctx context.Context, within time.Duration) (spent Spent, refused *verifiedmetadata.Refusal) {
 	until := c.steady() + int64(within)
 	defer func(begun int64) {
 		spent.Took = c.steady() - begun
@@ -127,8 +127,8 @@
 
 // metadata brings one file of metadata to whoever takes it, from one mirror after the other until one's is taken. It
 // tells whether an optional one is missing.
-func (c *Client) metadata(ctx context.Context, want trust.Want, until int64, spent *Spent,
-	take func([]byte) *trust.Refusal) (missing bool, refused *trust.Refusal) {
+func (c *Client) metadata(ctx context.Context, want verifiedmetadata.Want, until int64, spent *Spent,
+	take func([]byte) *verifiedmetadata.Refusal) (missing bool, refused *verifiedmetadata.Refusal) {
 	f := c.pool.Begin(want.Most, until)
 	var text bytes.Buffer
 	how := c.bring(ctx, f, metadataFolder+want.Name, spent, func(from int64) (io.Writer, error) {
@@ -140,7 +140,7 @@
 		return refused == nil
 	})
 	switch {
-	case how == mirror.Brought:
+	case how == mirrorpool.Brought:
 		return false, nil
 	case want.Optional && f.Misses() > 0: // and no other brought one that is trusted
 		return true, nil
@@ -149,39 +149,39 @@
 }
 
 // verdict is why a file was not had: what came was not trusted, or nothing whole came.
-func verdict(of string, how mirror.How, refused *trust.Refusal) *trust.Refusal {
+func verdict(of string, how mirrorpool.How, refused *verifiedmetadata.Refusal) *verifiedmetadata.Refusal {
 	switch {
 	case refused != nil:
 		return refused
-	case how == mirror.Large:
-		return &trust.Refusal{Reason: trust.TooLarge, Of: of, Detail: "more came than it may be long"}
+	case how == mirrorpool.Large:
+		return &verifiedmetadata.Refusal{Reason: verifiedmetadata.TooLarge, Of: of, Detail: "more came than it may be long"}
 	}
-	return &trust.Refusal{Reason: trust.Unavailable, Of: of, Detail: "the last mirror: " + how.String()}
+	return &verifiedmetadata.Refusal{Reason: verifiedmetadata.Unavailable, Of: of, Detail: "the last mirror: " + how.String()}
 }
 
 // bring obeys the pool until a fetch is over. Begin gives where the bytes of an attempt go, from a first one on; whole
 // tells whether what came is trusted.
-func (c *Client) bring(ctx context.Context, f *mirror.Fetch, name string, spent *Spent,
-	begin func(from int64) (io.Writer, error), whole func() bool) mirror.How {
+func (c *Client) bring(ctx context.Context, f *mirrorpool.Fetch, name string, spent *Spent,
+	begin func(from int64) (io.Writer, error), whole func() bool) mirrorpool.How {
 	for {
 		if ctx.Err() != nil {
 			f.Give(c.steady())
 		}
 		step := c.next(f)
 		switch step.Act {
-		case mirror.Over:
+		case mirrorpool.Over:
 			how, _ := f.Outcome()
 			return how
-		case mirror.Wait:
+		case mirrorpool.Wait:
 			select {
 			case <-time.After(time.Duration(step.Until - c.steady())):
 			case <-ctx.Done():
 			}
-		case mirror.Try:
+		case mirrorpool.Try:
 			spent.Attempts++
 			how := c.try(ctx, f, step, name, spent, begin)
-			if how == mirror.Brought && !whole() {
-				how = mirror.Bad
+			if how == mirrorpool.Brought && !whole() {
+				how = mirrorpool.Bad
 			}
 			f.Ended(how, c.steady())
 			c.watch.Tried(step.To.Name, how)
@@ -190,22 +190,22 @@
 }
 
 // try asks one mirror once.
-func (c *Client) try(ctx context.Context, f *mirror.Fetch, step mirror.Step, name string, spent *Spent,
-	begin func(from int64) (io.Writer, error)) mirror.How {
+func (c *Client) try(ctx context.Context, f *mirrorpool.Fetch, step mirrorpool.Step, name string, spent *Spent,
+	begin func(from int64) (io.Writer, error)) mirrorpool.How {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	watch := time.AfterFunc(time.Duration(f.CheckAt()-c.steady()), stop)
 	defer watch.Stop()
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, step.To.Name+name, nil)
 	if err != nil {
-		return mirror.Refused
+		return mirrorpool.Refused
 	}
 	if step.From > 0 {
 		ask.Header.Set("Range", fmt.Sprintf("bytes=%d-", step.From))
 	}
 	answer, err := c.http.Do(ask)
 	if err != nil {
-		return c.brokeOff(ctx, f, mirror.Refused)
+		return c.brokeOff(ctx, f, mirrorpool.Refused)
 	}
 	defer answer.Body.Close()
 	from := step.From
@@ -215,25 +215,25 @@
 	case code == http.StatusPartialContent && from > 0 &&
 		strings.HasPrefix(answer.Header.Get("Content-Range"), fmt.Sprintf("bytes %d-", from)):
 	case code == http.StatusNotFound || code == http.StatusGone:
-		return mirror.Missing
+		return mirrorpool.Missing
 	case code >= 300 && code < 400:
-		return mirror.Redirected
+		return mirrorpool.Redirected
 	default:
-		return mirror.Refused
+		return mirrorpool.Refused
 	}
 	into, err := begin(from)
 	if err != nil {
-		return mirror.Bad
+		return mirrorpool.Bad
 	}
 	for b := make([]byte, 16<<10); ; {
 		n, err := answer.Body.Read(b)
 		spent.Bytes += int64(n)
 		if n > 0 {
 			if _, bad := into.Write(b[:n]); bad != nil {
-				return mirror.Bad
+				return mirrorpool.Bad
 			}
 			if f.Whole(verified(into)) {
-				return mirror.Brought // what more may come is nobody's
+				return mirrorpool.Brought // what more may come is nobody's
 			}
 			if !f.Came(int64(n), verified(into), c.steady()) {
 				how, _ := f.Last()
@@ -243,15 +243,15 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return mirror.Brought
+			return mirrorpool.Brought
 		case err != nil:
-			return c.brokeOff(ctx, f, mirror.Closed)
+			return c.brokeOff(ctx, f, mirrorpool.Closed)
 		}
 	}
 }
 
 // brokeOff says why an attempt ended: by our watch on it, or by itself.
-func (c *Client) brokeOff(ctx context.Context, f *mirror.Fetch, how mirror.How) mirror.How {
+func (c *Client) brokeOff(ctx context.Context, f *mirrorpool.Fetch, how mirrorpool.How) mirrorpool.How {
 	if ctx.Err() == nil || f.Check(c.steady()) {
 		return how
 	}
@@ -268,7 +268,7 @@
 }
 
 // Target looks for a target, fetching the metadata of roles that it needs on the way.
-func (c *Client) Target(ctx context.Context, path string, within time.Duration, spent *Spent) (*trust.Target, *trust.Refusal) {
+func (c *Client) Target(ctx context.Context, path string, within time.Duration, spent *Spent) (*verifiedmetadata.Target, *verifiedmetadata.Refusal) {
 	until := c.steady() + int64(within)
 	s, refused := c.keeper.Search(path, c.now())
 	if refused != nil {
@@ -287,7 +287,7 @@
 }
 
 // Fetch brings a target into the store. What is handed over is whole and trusted, or nothing is.
-func (c *Client) Fetch(ctx context.Context, path string, within time.Duration) (t *trust.Target, spent Spent, refused *trust.Refusal) {
+func (c *Client) Fetch(ctx context.Context, path string, within time.Duration) (t *verifiedmetadata.Target, spent Spent, refused *verifiedmetadata.Refusal) {
 	begun := c.steady()
 	defer func() {
 		spent.Took = c.steady() - begun
@@ -311,7 +311,7 @@
 		into.block, into.skip = into.block[:0], into.done-from // a mirror may bring all where a part was asked for
 		return into, nil
 	}, func() bool { refused = into.whole(); return refused == nil })
-	if how != mirror.Brought {
+	if how != mirrorpool.Brought {
 		if refused == nil {
 			refused = into.bad
 		}
@@ -323,20 +323,20 @@
 	return t, spent, nil
 }
 
-func unkept(path string, err error) *trust.Refusal {
-	return &trust.Refusal{Reason: trust.Unavailable, Of: path, Detail: "it cannot be kept: " + err.Error()}
+func unkept(path string, err error) *verifiedmetadata.Refusal {
+	return &verifiedmetadata.Refusal{Reason: verifiedmetadata.Unavailable, Of: path, Detail: "it cannot be kept: " + err.Error()}
 }
 
 // check takes the bytes of a target. Where the role gives the hashes of its blocks, each is verified before it is
 // written, so that another mirror may go on behind it.
 type check struct {
-	t     *trust.Target
+	t     *verifiedmetadata.Target
 	part  *store.Part
 	done  int64 // bytes written
 	skip  int64 // bytes to come that are written already
 	block []byte
 	sums  map[string]hash.Hash
-	bad   *trust.Refusal
+	bad   *verifiedmetadata.Refusal
 }
 
 func (c *check) reset() error {
@@ -371,7 +371,7 @@
 			break
 		}
 		if sum := sha256.Sum256(c.block); !bytes.Equal(sum[:], c.t.Blocks[c.done/c.t.Block]) {
-			c.bad = &trust.Refusal{Reason: trust.WrongHash, Of: c.t.Path, Detail: fmt.Sprintf("block %d", c.done/c.t.Block)}
+			c.bad = &verifiedmetadata.Refusal{Reason: verifiedmetadata.WrongHash, Of: c.t.Path, Detail: fmt.Sprintf("block %d", c.done/c.t.Block)}
 			return 0, errBlock
 		}
 		if err := c.pass(c.block); err != nil {
@@ -399,37 +399,37 @@
 }
 
 // whole tells whether all of the target came, and nothing else.
-func (c *check) whole() *trust.Refusal {
+func (c *check) whole() *verifiedmetadata.Refusal {
 	if c.done != c.t.Length {
-		return &trust.Refusal{Reason: trust.WrongLength, Of: c.t.Path, Detail: fmt.Sprintf("%d bytes of %d", c.done, c.t.Length)}
+		return &verifiedmetadata.Refusal{Reason: verifiedmetadata.WrongLength, Of: c.t.Path, Detail: fmt.Sprintf("%d bytes of %d", c.done, c.t.Length)}
 	}
 	if c.sums == nil {
 		c.Write(nil)
 	}
 	for _, kind := range []string{"sha256", "sha512"} {
 		if want := c.t.Hashes[kind]; want != nil && !bytes.Equal(c.sums[kind].Sum(nil), want) {
-			return &trust.Refusal{Reason: trust.WrongHash, Of: c.t.Path, Detail: kind}
+			return &verifiedmetadata.Refusal{Reason: verifiedmetadata.WrongHash, Of: c.t.Path, Detail: kind}
 		}
 	}
 	return nil
 }
 
 // Verify reads a target that was fetched and tells whether it is still what the roles list now.
-func (c *Client) Verify(path string) *trust.Refusal {
+func (c *Client) Verify(path string) *verifiedmetadata.Refusal {
 	t, refused := c.keeper.Listed(path, c.now())
 	if refused != nil {
 		return refused
 	}
 	from, err := c.store.Target(path)
 	if err != nil {
-		return &trust.Refusal{Reason: trust.Unavailable, Of: path, Detail: "it was not fetched"}
+		return &verifiedmetadata.Refusal{Reason: verifiedmetadata.Unavailable, Of: path, Detail: "it was not fetched"}
 	}
 	defer from.Close()
 	plain := *t
 	plain.Block = 0
 	into := &check{t: &plain, part: store.Nowhere()}
 	if _, err := io.Copy(into, io.LimitReader(from, t.Length+1)); err != nil {
-		return &trust.Refusal{Reason: trust.Unavailable, Of: path, Detail: err.Error()}
+		return &verifiedmetadata.Refusal{Reason: verifiedmetadata.Unavailable, Of: path, Detail: err.Error()}
 	}
 	return into.whole()
 }
@@ -437,7 +437,7 @@
 // Clean lets go of the targets that were fetched and that no role lists any more; it tells how many.
 func (c *Client) Clean() (gone int) {
 	for _, path := range c.store.Targets() {
-		if refused := c.Trusted(path); refused == nil || refused.Reason != trust.NotListed {
+		if refused := c.Trusted(path); refused == nil || refused.Reason != verifiedmetadata.NotListed {
 			continue
 		}
 		if c.store.Remove(path) == nil {
@@ -448,7 +448,7 @@
 }
 
 // Trusted tells whether a target may be used now, by what is trusted already.
-func (c *Client) Trusted(path string) *trust.Refusal {
+func (c *Client) Trusted(path string) *verifiedmetadata.Refusal {
 	_, refused := c.keeper.Listed(path, c.now())
 	return refused
 }
@@ -467,13 +467,13 @@
 
 // Status is what people and programs are told.
 type Status struct {
-	Standing string         `json:"standing"` // "trusted", or why not
-	FreshAt  int64          `json:"fresh_at_ns"`
-	Roles    []trust.Role   `json:"roles"`
-	Mirrors  []mirror.State `json:"mirrors"`
-	Targets  []string       `json:"targets"`
-	Store    string         `json:"store"` // "kept", "memory", or what is wrong
-	Left     []string       `json:"left_out,omitempty"`
+	Standing string                  `json:"standing"` // "trusted", or why not
+	FreshAt  int64                   `json:"fresh_at_ns"`
+	Roles    []verifiedmetadata.Role `json:"roles"`
+	Mirrors  []mirrorpool.State      `json:"mirrors"`
+	Targets  []string                `json:"targets"`
+	Store    string                  `json:"store"` // "kept", "memory", or what is wrong
+	Left     []string                `json:"left_out,omitempty"`
 }
 
 // Status tells what is trusted, and how the mirrors and the store are.
--- a/internal/tuf/operator.go
+++ b/internal/tuf/operator.go
@@ -18,9 +18,9 @@
 	"golang.org/x/text/language"
 	"golang.org/x/text/message"
 
-	"laurelring/internal/mirror"
+	"laurelring/internal/mirrorpool"
 	"laurelring/internal/store"
-	"laurelring/internal/trust"
+	"laurelring/internal/verifiedmetadata"
 )
 
 //go:embed operator.schema.json
@@ -109,10 +109,10 @@
 		return nil, first(err)
 	}
 	o := &Operator{RefreshEveryMs: 600_000, RefreshMs: 30_000, FetchMs: 300_000,
-		StandsMs: trust.Ordinary.Stands / 1e6, SlackMs: trust.Ordinary.ClockSlack / 1e6}
-	o.Bytes.Root, o.Bytes.Timestamp = trust.Ordinary.Root, trust.Ordinary.Timestamp
-	o.Bytes.Snapshot, o.Bytes.Targets = trust.Ordinary.Snapshot, trust.Ordinary.Targets
-	o.Attempts, o.StallMs, o.Pace = mirror.Ordinary.Attempts, mirror.Ordinary.Stall.Milliseconds(), mirror.Ordinary.Pace
+		StandsMs: verifiedmetadata.Ordinary.Stands / 1e6, SlackMs: verifiedmetadata.Ordinary.ClockSlack / 1e6}
+	o.Bytes.Root, o.Bytes.Timestamp = verifiedmetadata.Ordinary.Root, verifiedmetadata.Ordinary.Timestamp
+	o.Bytes.Snapshot, o.Bytes.Targets = verifiedmetadata.Ordinary.Snapshot, verifiedmetadata.Ordinary.Targets
+	o.Attempts, o.StallMs, o.Pace = mirrorpool.Ordinary.Attempts, mirrorpool.Ordinary.Stall.Milliseconds(), mirrorpool.Ordinary.Pace
 	if err := json.Unmarshal(text, o); err != nil {
 		return nil, &Fault{Reason: err.Error()}
 	}
@@ -121,7 +121,7 @@
 			return nil, &Fault{Field: fmt.Sprint("draining.", i), Reason: "is not among the mirrors"}
 		}
 	}
-	if o.Builds != "" && !trust.SafePath(o.target(1)) {
+	if o.Builds != "" && !verifiedmetadata.SafePath(o.target(1)) {
 		return nil, &Fault{Field: "builds", Reason: "the target's path could leave its folder"}
 	}
 	return o, nil
@@ -151,7 +151,7 @@
 	return strings.ReplaceAll(o.Builds, "{build}", strconv.Itoa(build))
 }
 
-// RefreshWithin, FetchWithin and RefreshEvery are the file's times.
+// RefreshWithin is how long a refresh of the metadata may take.
 func (o *Operator) RefreshWithin() time.Duration {
 	return time.Duration(o.RefreshMs) * time.Millisecond
 }
@@ -173,12 +173,12 @@
 			return nil, nil, err
 		}
 	}
-	limits := trust.Ordinary
+	limits := verifiedmetadata.Ordinary
 	limits.Root, limits.Timestamp, limits.Snapshot, limits.Targets = o.Bytes.Root, o.Bytes.Timestamp, o.Bytes.Snapshot, o.Bytes.Targets
 	limits.Stands, limits.ClockSlack = o.StandsMs*1e6, o.SlackMs*1e6
-	pace := mirror.Ordinary
+	pace := mirrorpool.Ordinary
 	pace.Attempts, pace.Stall, pace.Pace = o.Attempts, time.Duration(o.StallMs)*time.Millisecond, o.Pace
-	c, err := New(o.root, limits, mirror.NewPool(o.Mirrors, seed, pace), kept, now, watch)
+	c, err := New(o.root, limits, mirrorpool.NewPool(o.Mirrors, seed, pace), kept, now, watch)
 	if err != nil {
 		kept.Close()
 		return nil, nil, err
--- a/internal/tuf/tufmetrics/metrics.go
+++ b/internal/tuf/tufmetrics/metrics.go
@@ -6,9 +6,9 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"laurelring/internal/mirror"
-	"laurelring/internal/trust"
+	"laurelring/internal/mirrorpool"
 	"laurelring/internal/tuf"
+	"laurelring/internal/verifiedmetadata"
 )
 
 // Metrics are told by a client, as its watcher.
@@ -45,7 +45,7 @@
 	return m
 }
 
-func reasonOf(refused *trust.Refusal) string {
+func reasonOf(refused *verifiedmetadata.Refusal) string {
 	if refused == nil {
 		return "trusted"
 	}
@@ -53,20 +53,20 @@
 }
 
 // Refreshed tells how a refresh ended.
-func (m *Metrics) Refreshed(refused *trust.Refusal, spent tuf.Spent) {
+func (m *Metrics) Refreshed(refused *verifiedmetadata.Refusal, spent tuf.Spent) {
 	m.refreshes.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
 	m.seconds.Observe(time.Duration(spent.Took).Seconds())
 }
 
 // Fetched tells how a fetch of a target ended.
-func (m *Metrics) Fetched(refused *trust.Refusal, spent tuf.Spent) {
+func (m *Metrics) Fetched(refused *verifiedmetadata.Refusal, spent tuf.Spent) {
 	m.fetches.WithLabelValues(reasonOf(refused)).Inc()
 	m.bytes.Add(float64(spent.Bytes))
 }
 
 // Tried tells how an attempt at a mirror ended.
-func (m *Metrics) Tried(name string, how mirror.How) {
+func (m *Metrics) Tried(name string, how mirrorpool.How) {
 	m.attempts.WithLabelValues(name, how.String()).Inc()
 }
 
--- a/internal/trust/path.go
+++ b/internal/verifiedmetadata/path.go
@@ -1,4 +1,4 @@
-package trust
+package verifiedmetadata
 
 import "strings"
 
--- a/internal/trust/reason.go
+++ b/internal/verifiedmetadata/reason.go
@@ -1,8 +1,8 @@
-// Package trust decides which metadata of the release desk are trusted, why others are not, and which targets may be
+// Package verifiedmetadata decides which metadata of the release desk are trusted, why others are not, and which targets may be
 // taken. It does no I/O and reads no clock: bytes and times are handed in, plain values come back. Signatures,
 // thresholds and the order of an update are those of a library for The Update Framework; ours are the decisions
 // around it.
-package trust
+package verifiedmetadata
 
 import (
 	"errors"
