--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	queueBatch       = 64               // queued requests that Tick names at once
-	queueTicks       = 2                // ticks until Tick is to be called again while requests are queued
-	expiryMarginTick = 4                // ticks before a queued request's time runs out from which on Tick names it
-	maxTickInterval  = 10 * time.Second // between two calls of Tick
+	queueBatch        = 64               // queued requests that Tick names at once
+	queueCheckTicks   = 2                // ticks until Tick is to be called again while requests are queued
+	expiryMarginTicks = 4                // ticks before a queued request's time runs out from which on Tick names it
+	maxTickInterval   = 10 * time.Second // between two calls of Tick
 )
 
 // Balancer makes the decisions of one gateway. It is not safe for concurrent use.
@@ -31,7 +31,7 @@
 	opTypes        []*OpType
 	endpoints      []*Endpoint // those that the list names, and those with attempts in flight
 	machines       machineTypes
-	rankings       []buildRanking // of the ready endpoints' error and loss rates, by build
+	ratesByBuild   []buildRates // of the ready endpoints' error and loss rates, by build
 	paths          pathHealth
 	verifiedBuilds map[int]bool // nil where every build is allowed
 
@@ -49,11 +49,11 @@
 		return Decision{Action: ActionNone}
 	}
 	if len(request.attempts) >= lb.attemptLimits.maxAttempts {
-		return lb.refuse(request, ReasonAttemptsExhausted)
+		return lb.rejectOrFail(request, ReasonAttemptsExhausted)
 	}
 	// An attempt is made only if it is expected to end while its answer is still worth something.
-	if lb.worthwhileUntil(request)-now <= time.Duration(lb.expectedLatency(request)) {
-		return lb.refuse(request, ReasonDeadlineTooClose)
+	if lb.effectiveDeadline(request)-now <= time.Duration(lb.expectedLatency(request)) {
+		return lb.rejectOrFail(request, ReasonDeadlineTooClose)
 	}
 	if !lb.withinConcurrencyWindow(request, now) {
 		return lb.enqueue(request)
@@ -122,7 +122,7 @@
 		lb.dequeue(request)
 	}
 	if attempt.mayHaveExecuted && request.opType.idempotency == NonIdempotent && !request.completed {
-		return lb.refuse(request, ReasonMayHaveExecuted)
+		return lb.rejectOrFail(request, ReasonMayHaveExecuted)
 	}
 	return lb.Route(request, now)
 }
@@ -151,7 +151,7 @@
 	due.Requests = lb.dueRequests(now)
 	next := now + maxTickInterval
 	if lb.QueueLength() > 0 {
-		next = now + queueTicks*lb.tick
+		next = now + queueCheckTicks*lb.tick
 	}
 	poll, nextPollAt := lb.endpointList.polling.Poll(now)
 	due.PollDiscovery, next = poll, min(next, nextPollAt)
@@ -175,7 +175,7 @@
 	var due []*Request
 	for place := range lb.admission.queue.Len() {
 		request := lb.admission.queue.At(place)
-		if place < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+expiryMarginTick*lb.tick {
+		if place < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+expiryMarginTicks*lb.tick {
 			due = append(due, request)
 		}
 	}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -14,7 +14,7 @@
 	endpointHealth
 	endpointResults
 
-	drawKey    uint64 // random, for what differs from endpoint to endpoint at a gateway
+	hashKey    uint64 // random, for what differs from endpoint to endpoint at a gateway
 	unreported unreportedResults
 	evidence   endpointEvidence
 }
@@ -59,7 +59,7 @@
 // UpdateEndpoint takes in one entry of the endpoint list. CommitEndpointList ends the update.
 func (lb *Balancer) UpdateEndpoint(endpoint *Endpoint, status EndpointStatus, now monotonic.Time) {
 	if !endpoint.listed {
-		endpoint.listed, endpoint.drawKey = true, uint64(lb.random.Below(1<<30))
+		endpoint.listed, endpoint.hashKey = true, uint64(lb.random.Below(1<<30))
 		lb.endpoints = append(lb.endpoints, endpoint)
 	}
 	if endpoint.evidence.byOpType == nil || status.Build != endpoint.build {
@@ -116,16 +116,16 @@
 		}
 		return !endpoint.listed
 	})
-	newestBuild := lb.learnFleetSize()
+	newestBuild := lb.updateFleetSize()
 	if !cached {
 		lb.endpointList.polling.Succeeded()
 	}
 	lb.beginCanary(newestBuild, now)
 }
 
-// learnFleetSize takes the ready endpoints into the fleet's largest size and returns the newest build among them. Endpoints
+// updateFleetSize takes the ready endpoints into the fleet's largest size and returns the newest build among them. Endpoints
 // of a build under judgement do not count: they replace others.
-func (lb *Balancer) learnFleetSize() (newestBuild int) {
+func (lb *Balancer) updateFleetSize() (newestBuild int) {
 	power, endpoints := 0.0, 0
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready {
--- a/decision/health.go
+++ b/decision/health.go
@@ -19,7 +19,7 @@
 
 	ejectionErrorRate = 0.3  // smoothed share of errors beyond the median of the build: an endpoint with more is ejected
 	errorGain         = 0.15 // of each error in an endpoint's error rate
-	errorRateKept     = 0.85 // of the error rate after a success
+	errorRateDecay    = 0.85 // of the error rate after a success
 )
 
 // endpointHealth is what this gateway's attempts, and the voters, say of an endpoint's health.
@@ -79,7 +79,7 @@
 	lb.paths.recordConnected()
 	endpoint.recordOwnResults(1, 0, now)
 	endpoint.recentSuccesses.Add(now, lb.slowStart.overloadSpan)
-	endpoint.errorRate *= errorRateKept
+	endpoint.errorRate *= errorRateDecay
 	if endpoint.errorRate < ejectionErrorRate { // an endpoint that fails most requests and answers some stays on probation
 		endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, 0
 	}
--- a/decision/idempotency.go
+++ b/decision/idempotency.go
@@ -57,8 +57,8 @@
 	return true
 }
 
-// mayRepeatLater reports whether another attempt may follow one that is canceled now, at any endpoint.
-func (lb *Balancer) mayRepeatLater(attempt *Attempt, now monotonic.Time) bool {
+// mayRetryAfterCancel reports whether another attempt may follow one that is canceled now, at any endpoint.
+func (lb *Balancer) mayRetryAfterCancel(attempt *Attempt, now monotonic.Time) bool {
 	op := attempt.request.opType
 	return op.safeToRepeat() && (op.idempotency == Idempotent || now+lb.tick < attempt.sentAt+op.dedupWindow)
 }
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	observationDecay  = 2 * time.Second // time constant over which the gateways' results at an endpoint are counted
-	outlierMinLosses  = 3.0             // an outlier has lost at least so many attempts lately,
-	outlierLossMargin = 0.5             // and a share of all that is so much above the median of its build
-	outlierProbeShare = 0.04            // of the requests may try an outlier
-	minRankedResults  = 0.5             // an endpoint with fewer results lately is not ranked
+	observationDecay   = 2 * time.Second // time constant over which the gateways' results at an endpoint are counted
+	outlierMinLosses   = 3.0             // an outlier has lost at least so many attempts lately,
+	outlierLossMargin  = 0.5             // and a share of all that is so much above the median of its build
+	outlierProbeShare  = 0.04            // of the requests may try an outlier
+	minResultsForRates = 0.5             // an endpoint with fewer results lately is not ranked
 )
 
 // endpointResults are the answered and lost attempts of all gateways at an endpoint, as far as they are known here.
@@ -58,22 +58,22 @@
 	return outliers
 }
 
-// buildRanking holds the sorted figures of one build's ready endpoints.
-type buildRanking struct {
+// buildRates holds the sorted figures of one build's ready endpoints.
+type buildRates struct {
 	build                 int
 	errorRates, lossRates []float64
 }
 
 // rankEndpoints sorts the error and loss rates of the ready endpoints of each build, of those with results lately.
 func (lb *Balancer) rankEndpoints() {
-	all := lb.rankings[:0]
+	all := lb.ratesByBuild[:0]
 	for _, endpoint := range lb.endpoints {
-		if !endpoint.ready || endpoint.decayedSuccesses+endpoint.decayedLosses < minRankedResults {
+		if !endpoint.ready || endpoint.decayedSuccesses+endpoint.decayedLosses < minResultsForRates {
 			continue
 		}
-		i := slices.IndexFunc(all, func(ranking buildRanking) bool { return ranking.build == endpoint.build })
+		i := slices.IndexFunc(all, func(ranking buildRates) bool { return ranking.build == endpoint.build })
 		if i < 0 {
-			i, all = len(all), append(all, buildRanking{build: endpoint.build})
+			i, all = len(all), append(all, buildRates{build: endpoint.build})
 		}
 		ranking := &all[i]
 		ranking.errorRates, ranking.lossRates = append(ranking.errorRates, endpoint.errorRate), append(ranking.lossRates, endpoint.lossRate())
@@ -82,13 +82,13 @@
 		slices.Sort(ranking.errorRates)
 		slices.Sort(ranking.lossRates)
 	}
-	lb.rankings = all
+	lb.ratesByBuild = all
 }
 
 // medianOfOthers returns the medians over the n other ready endpoints of an endpoint's build, as last ranked: what most of
 // them suffer is the build's, and no reason to eject one. Without others both rates are 1.
 func (lb *Balancer) medianOfOthers(endpoint *Endpoint) (errorRate, lossRate float64, n int) {
-	for _, ranking := range lb.rankings {
+	for _, ranking := range lb.ratesByBuild {
 		if n = len(ranking.errorRates) - 1; ranking.build == endpoint.build && n > 0 {
 			return medianWithout(ranking.errorRates, endpoint.errorRate), medianWithout(ranking.lossRates, endpoint.lossRate()), n
 		}
--- a/decision/paths.go
+++ b/decision/paths.go
@@ -14,7 +14,7 @@
 
 	connectFailureThreshold = 0.3 // at a higher rate only endpoints are used that answered within responsiveTTL
 	connectFailureGain      = 0.1 // of each failure in the rate
-	connectFailureKept      = 0.9 // of the rate after a success
+	connectFailureDecay     = 0.9 // of the rate after a success
 	responsiveTTL           = 10 * time.Second
 )
 
@@ -53,7 +53,7 @@
 	p.connectFailureRate += connectFailureGain * (1 - p.connectFailureRate)
 }
 
-func (p *pathHealth) recordConnected() { p.connectFailureRate *= connectFailureKept }
+func (p *pathHealth) recordConnected() { p.connectFailureRate *= connectFailureDecay }
 
 // preferHealthyZones leaves out the endpoints of other zones from which far more attempts are late or lost than from the
 // gateway's own. It guards against paths between zones that are slow, lossy or cut. Where the own zone is short of
--- a/decision/request.go
+++ b/decision/request.go
@@ -14,9 +14,9 @@
 	firstAttemptShare       = 0.85 // this share of the latency objective
 )
 
-// worthwhileUntil is the moment after which an answer is not worth its work: that of the latency objective where a late
+// effectiveDeadline is the moment after which an answer is not worth its work: that of the latency objective where a late
 // answer has no value, or little while others are queued, and else the deadline.
-func (lb *Balancer) worthwhileUntil(request *Request) time.Duration {
+func (lb *Balancer) effectiveDeadline(request *Request) time.Duration {
 	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && lb.QueueLength() > 0 {
 		return request.latencyDeadline
 	}
@@ -32,9 +32,9 @@
 	return request.opType.meanLatency
 }
 
-// refuse gives a request its final answer. A rejection says that trying again does no harm, so it is given only where no
+// rejectOrFail gives a request its final answer. A rejection says that trying again does no harm, so it is given only where no
 // attempt can have executed, or where a repeat does no harm.
-func (lb *Balancer) refuse(request *Request, reason RejectReason) Decision {
+func (lb *Balancer) rejectOrFail(request *Request, reason RejectReason) Decision {
 	lb.dequeue(request)
 	request.completed = true
 	for _, attempt := range request.attempts {
--- a/decision/silence.go
+++ b/decision/silence.go
@@ -40,7 +40,7 @@
 			attempt.overdueCounted = true
 			endpoint.recordOwnResults(0, 1, now)
 		}
-		if !lb.silenceMatters(endpoint, now) {
+		if !lb.silenceIsSignificant(endpoint, now) {
 			continue
 		}
 		if !attempt.endpointSilent {
@@ -55,15 +55,15 @@
 	return now + cancelCheckTicks*lb.tick
 }
 
-// silenceMatters reports whether silence says something about an endpoint: the voters call it an outlier, or this gateway
+// silenceIsSignificant reports whether silence says something about an endpoint: the voters call it an outlier, or this gateway
 // meets it often. Else it says little: an overload looks the same, and work that is canceled for it is done in vain.
-func (lb *Balancer) silenceMatters(endpoint *Endpoint, now monotonic.Time) bool {
+func (lb *Balancer) silenceIsSignificant(endpoint *Endpoint, now monotonic.Time) bool {
 	return now < endpoint.outlierUntil || endpoint.recentAttempts.CountAfter(now-canaryShareSpan) >= silenceMinAttempts
 }
 
 // mayCancel reports whether an attempt may be canceled, and another one may follow it in time.
 func (lb *Balancer) mayCancel(attempt *Attempt, now monotonic.Time) bool {
 	request := attempt.request
-	return lb.mayRepeatLater(attempt, now) && lb.attemptLimits.mayCancel && !attempt.canceled && !request.completed &&
+	return lb.mayRetryAfterCancel(attempt, now) && lb.attemptLimits.mayCancel && !attempt.canceled && !request.completed &&
 		len(request.attempts) < lb.attemptLimits.maxAttempts && request.deadline-now > time.Duration(request.opType.meanLatency)
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -12,7 +12,7 @@
 	usualThroughputGain  = 0.15            // of each new figure in the usual throughput
 	slowStartShare       = 0.65            // of the multiple that overloads a warming endpoint; the rest is left for random bursts
 	maxSlowStartCapacity = 1.1             // times what a warming endpoint can serve: more would only queue there
-	maxShortage          = 1.5             // times the usual for warming and canary endpoints while others are missing
+	maxShortageFactor    = 1.5             // times the usual for warming and canary endpoints while others are missing
 	minBudgetRate        = 1e-9            // requests a second; keeps the gap between attempts finite
 	minFleetCapacity     = 0.01
 )
@@ -83,7 +83,7 @@
 	}
 	gap := float64(max(1, lb.slowStart.arrivals.CountAfter(now-span))) / max(budget*lb.requestRate(now), minBudgetRate) * float64(time.Second)
 	if endpoint.lastAttemptAt == 0 {
-		return float64(now-endpoint.learnedAt) >= gap*float64(lb.random.HashOf(endpoint.drawKey)>>40)/(1<<24)
+		return float64(now-endpoint.learnedAt) >= gap*float64(lb.random.HashOf(endpoint.hashKey)>>40)/(1<<24)
 	}
 	return float64(now-endpoint.lastAttemptAt) >= gap
 }
@@ -98,7 +98,7 @@
 func (lb *Balancer) learnFleetBaseline(now monotonic.Time) {
 	lb.learnUsualThroughput(now)
 	lb.recordBusyTime(now)
-	lb.learnFleetCost(lb.mostlyWarm(now), now)
+	lb.learnFleetCost(lb.baselineMostlyWarm(now), now)
 }
 
 // learnUsualThroughput learns what warm endpoints usually answer this gateway for their power. Answers are bounded by what
@@ -123,7 +123,7 @@
 		}
 		slowStart.usualThroughput += usualThroughputGain * (answers/warmPower - slowStart.usualThroughput)
 	}
-	slowStart.shortage = max(1, min(maxShortage, lb.endpointList.maxPower/max(capacity, minFleetCapacity)))
+	slowStart.shortage = max(1, min(maxShortageFactor, lb.endpointList.maxPower/max(capacity, minFleetCapacity)))
 }
 
 // recordBusyTime adds each endpoint's busy time since the last call, by its own report, to its evidence. An endpoint that
@@ -137,8 +137,8 @@
 	}
 }
 
-// mostlyWarm reports whether most ready endpoints of builds before the one under judgement have finished their slow start.
-func (lb *Balancer) mostlyWarm(now monotonic.Time) bool {
+// baselineMostlyWarm reports whether most ready endpoints of builds before the one under judgement have finished their slow start.
+func (lb *Balancer) baselineMostlyWarm(now monotonic.Time) bool {
 	warming, warm := 0, 0
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready || endpoint.build >= lb.rollout.build {
