--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -100,9 +100,9 @@
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
-	Outcome  Outcome
-	Duration time.Duration // from its start to its end
-	Settled  bool          // its request has its final answer
+	Outcome          Outcome
+	Duration         time.Duration // from its start to its end
+	RequestCompleted bool          // its request has its final answer
 }
 
 // FinishAttempt takes in how an attempt ended and decides what becomes of its request.
@@ -117,7 +117,7 @@
 	if outcome == OutcomeSuccess {
 		lb.bindKey(request.key, attempt.build)
 	}
-	if result.Settled || outcome == OutcomeSuccess {
+	if result.RequestCompleted || outcome == OutcomeSuccess {
 		request.completed = true
 		lb.dequeue(request)
 	}
--- a/decision/canary.go
+++ b/decision/canary.go
@@ -93,14 +93,14 @@
 
 // withinCanaryShare reports whether a canary endpoint has had little more than its share of the requests, or less, by its
 // size, which binds even where the cap allows more: an endpoint that is slow because it is overloaded would speak against
-// its build. stableInFlight and stablePower are of the endpoints of other builds.
-func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stablePower float64, now monotonic.Time) bool {
-	push := canaryShareFactor * lb.slowStart.shortage
+// its build. stableInFlight and stableCapacity are of the endpoints of other builds.
+func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stableCapacity float64, now monotonic.Time) bool {
+	push := canaryShareFactor * lb.slowStart.shortageFactor
 	if !lb.withinBudget(push*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
 		return false
 	}
-	// No burst when it is first listed: it has no more attempts in flight than the others for their power.
-	return stablePower == 0 || float64(len(endpoint.inFlight)) < 1+push*stableInFlight/stablePower*lb.power(endpoint)
+	// No burst when it is first listed: it has no more attempts in flight than the others for their capacity.
+	return stableCapacity == 0 || float64(len(endpoint.inFlight)) < 1+push*stableInFlight/stableCapacity*lb.relativeCapacity(endpoint)
 }
 
 // bindKey keeps a key that a build has answered from going to an earlier one, during the canary phase and after the
@@ -139,13 +139,13 @@
 }
 
 // stableInFlight returns how many attempts are in flight at ready endpoints of other builds than a canary one, and
-// the power of those.
-func (lb *Balancer) stableInFlight() (inFlight, power float64) {
+// the relative capacity of those.
+func (lb *Balancer) stableInFlight() (inFlight, capacity float64) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && !lb.isCanary(endpoint.build) {
 			inFlight += float64(len(endpoint.inFlight))
-			power += lb.power(endpoint)
+			capacity += lb.relativeCapacity(endpoint)
 		}
 	}
-	return inFlight, power
+	return inFlight, capacity
 }
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -109,8 +109,8 @@
 
 // endpointListState is what is known of the endpoint list as a whole.
 type endpointListState struct {
-	lease        discovery.Lease
-	polling      discovery.Pacing
-	maxPower     float64 // the largest power that was ready at once, canary endpoints left out
-	maxEndpoints int     // the same in endpoints
+	lease            discovery.Lease
+	polling          discovery.Pacing
+	maxFleetCapacity float64 // the largest relative capacity that was ready at once, canary endpoints left out
+	maxEndpoints     int     // the same in endpoints
 }
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -22,7 +22,7 @@
 // endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
 type endpointEvidence struct {
 	byOpType          []rollout.Counters
-	busyTime          float64        // by the endpoint's own utilization, weighed by its power
+	busyTime          float64        // by the endpoint's own utilization, weighted by its relative capacity
 	connectionsLostAt monotonic.Time // when it last broke connections
 }
 
@@ -117,7 +117,7 @@
 // errors of single canary endpoints and may delay the case against a build that ruins some endpoints before others. Busy
 // time and finished attempts stay: gateways see these at different times and would hardly leave out the same.
 func (lb *Balancer) sumEvidence(now monotonic.Time) {
-	lb.rankEndpoints()
+	lb.updateRatesByBuild()
 	if !lb.rollout.judging() {
 		return
 	}
@@ -125,7 +125,7 @@
 	copy(evidence.own, evidence.departed)
 	evidence.previousBusy, evidence.busyTime = evidence.busyTime, evidence.departedBusy
 	for _, endpoint := range lb.endpoints {
-		errorRateOfOthers, _, others := lb.medianOfOthers(endpoint)
+		errorRateOfOthers, _, others := lb.medianRatesOfOthers(endpoint)
 		outlier := now < endpoint.outlierUntil ||
 			others >= outlierMinEndpoints && endpoint.errorRate > ejectionErrorRate+errorRateOfOthers
 		lb.addEndpointEvidence(endpoint, evidence.own, &evidence.busyTime, outlier)
--- a/decision/health.go
+++ b/decision/health.go
@@ -96,8 +96,8 @@
 
 func (lb *Balancer) recordError(endpoint *Endpoint, now monotonic.Time) {
 	endpoint.errorRate += errorGain * (1 - endpoint.errorRate)
-	lb.rankEndpoints()
-	if others, _, _ := lb.medianOfOthers(endpoint); endpoint.errorRate > ejectionErrorRate+others {
+	lb.updateRatesByBuild()
+	if others, _, _ := lb.medianRatesOfOthers(endpoint); endpoint.errorRate > ejectionErrorRate+others {
 		lb.eject(endpoint, now)
 	}
 }
--- a/decision/machinetype.go
+++ b/decision/machinetype.go
@@ -44,13 +44,13 @@
 	return max(minRelativeLatency, min(maxRelativeLatency, mean+gain*(ratio-mean)))
 }
 
-// power is an endpoint's capacity against others: its size at the speed of its machine type.
-func (lb *Balancer) power(endpoint *Endpoint) float64 {
+// relativeCapacity is an endpoint's capacity relative to others: its size at the speed of its machine type.
+func (lb *Balancer) relativeCapacity(endpoint *Endpoint) float64 {
 	return endpoint.size / lb.machineType(endpoint.machineType).relativeLatency
 }
 
-// normalizedPower is power at the mean speed of all machine types: where there is one type it is the endpoint's size,
+// normalizedCapacity is relativeCapacity at the mean speed of all machine types: where there is one type it is the endpoint's size,
 // however its answers go.
-func (lb *Balancer) normalizedPower(endpoint *Endpoint) float64 {
-	return lb.power(endpoint) * lb.machines.meanRelativeLatency
+func (lb *Balancer) normalizedCapacity(endpoint *Endpoint) float64 {
+	return lb.relativeCapacity(endpoint) * lb.machines.meanRelativeLatency
 }
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -49,7 +49,7 @@
 	var outliers []*Endpoint
 	for _, endpoint := range lb.endpoints {
 		endpoint.recordResults(0, 0, now)
-		if _, others, n := lb.medianOfOthers(endpoint); endpoint.ready && n >= 2 && len(outliers) < maxObservations &&
+		if _, others, n := lb.medianRatesOfOthers(endpoint); endpoint.ready && n >= 2 && len(outliers) < maxObservations &&
 			(endpoint.decayedLosses >= outlierMinLosses || now < endpoint.outlierUntil) && endpoint.lossRate() > outlierLossMargin+others {
 			endpoint.outlierUntil = now + voterReportTTL
 			outliers = append(outliers, endpoint)
@@ -64,8 +64,8 @@
 	errorRates, lossRates []float64
 }
 
-// rankEndpoints sorts the error and loss rates of the ready endpoints of each build, of those with results lately.
-func (lb *Balancer) rankEndpoints() {
+// updateRatesByBuild sorts the error and loss rates of the ready endpoints of each build, of those with results lately.
+func (lb *Balancer) updateRatesByBuild() {
 	all := lb.ratesByBuild[:0]
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready || endpoint.decayedSuccesses+endpoint.decayedLosses < minResultsForRates {
@@ -85,9 +85,9 @@
 	lb.ratesByBuild = all
 }
 
-// medianOfOthers returns the medians over the n other ready endpoints of an endpoint's build, as last ranked: what most of
+// medianRatesOfOthers returns the medians over the n other ready endpoints of an endpoint's build, as last ranked: what most of
 // them suffer is the build's, and no reason to eject one. Without others both rates are 1.
-func (lb *Balancer) medianOfOthers(endpoint *Endpoint) (errorRate, lossRate float64, n int) {
+func (lb *Balancer) medianRatesOfOthers(endpoint *Endpoint) (errorRate, lossRate float64, n int) {
 	for _, ranking := range lb.ratesByBuild {
 		if n = len(ranking.errorRates) - 1; ranking.build == endpoint.build && n > 0 {
 			return medianWithout(ranking.errorRates, endpoint.errorRate), medianWithout(ranking.lossRates, endpoint.lossRate()), n
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -82,7 +82,7 @@
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && now-endpoint.startedAt > lb.slowStart.warmUp && now-endpoint.utilizationAt < utilizationTTL {
 			endpoint.recordResults(0, 0, now)
-			busy += endpoint.utilization * lb.normalizedPower(endpoint)
+			busy += endpoint.utilization * lb.normalizedCapacity(endpoint)
 			// Compensates for results that were not known before this gateway heard most others, or the endpoint was listed.
 			since := max(now-max(lb.rollout.peers.underReportedAt, endpoint.learnedAt), evidenceInterval)
 			answers += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay.Factor(0, since, observationDecay))
--- a/decision/rollout/counters.go
+++ b/decision/rollout/counters.go
@@ -93,7 +93,7 @@
 	return table, true
 }
 
-// BusyTime is the time that the endpoints of each side were busy, by their own utilization, weighed by their power.
+// BusyTime is the time that the endpoints of each side were busy, by their own utilization, weighted by their relative capacity.
 type BusyTime struct {
 	Canary, Baseline float64
 }
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -27,14 +27,14 @@
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
 	var canary, stable, suspect []*Endpoint // local, so that the compiler keeps the short ones off the heap
 	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
-	stableInFlight, stablePower := lb.stableInFlight()
+	stableInFlight, stableCapacity := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
 		isCanary := lb.isCanary(endpoint.build)
 		if isCanary && !mayUseCanary || !lb.mayAttempt(request, endpoint, now) {
 			continue
 		}
 		room := endpoint.limit.allows(len(endpoint.inFlight)) &&
-			!(isCanary && !lb.withinCanaryShare(endpoint, stableInFlight, stablePower, now))
+			!(isCanary && !lb.withinCanaryShare(endpoint, stableInFlight, stableCapacity, now))
 		healthy := !lb.isSuspect(endpoint, now) && !lb.onProbationFor(request, endpoint, now)
 		switch {
 		case healthy && !room:
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -25,8 +25,8 @@
 	overloadSpan     time.Duration // over which those are counted
 
 	arrivals        slidingwindow.Window // this gateway's requests
-	shortage        float64              // from 1 on: how much more than usual falls to each endpoint, as others are missing or warming up
-	usualThroughput float64              // this gateway's answers from a warm endpoint within overloadSpan, per unit of power
+	shortageFactor  float64              // from 1 on: how much more than usual falls to each endpoint, as others are missing or warming up
+	usualThroughput float64              // this gateway's answers from a warm endpoint within overloadSpan, per unit of relative capacity
 }
 
 func newSlowStartState(config SlowStartConfig) slowStartState {
@@ -35,7 +35,7 @@
 		warmUp:           config.WarmUp,
 		overloadMultiple: config.OverloadMultiple,
 		overloadSpan:     config.OverloadSpan,
-		shortage:         1,
+		shortageFactor:   1,
 	}
 }
 
@@ -65,10 +65,10 @@
 	}
 	share := lb.requestShare(endpoint, slowStart.overloadSpan, now)
 	if slowStart.usualThroughput > 0 {
-		share = min(share, slowStart.usualThroughput*lb.power(endpoint))
+		share = min(share, slowStart.usualThroughput*lb.relativeCapacity(endpoint))
 	}
 	age := now - endpoint.startedAt
-	budget := min(slowStart.overloadMultiple*slowStartShare, maxSlowStartCapacity*slowStart.shortage) *
+	budget := min(slowStart.overloadMultiple*slowStartShare, maxSlowStartCapacity*slowStart.shortageFactor) *
 		slowStart.warmUpCapacity(age-slowStart.overloadSpan/2) * share
 	return lb.withinBudget(budget, endpoint, slowStart.overloadSpan, now)
 }
@@ -88,10 +88,10 @@
 	return float64(now-endpoint.lastAttemptAt) >= gap
 }
 
-// requestShare is how many of this gateway's requests of the last span fall to an endpoint by its power.
+// requestShare is how many of this gateway's requests of the last span fall to an endpoint by its capacity.
 func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
-	power := lb.power(endpoint)
-	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * power / max(lb.endpointList.maxPower, power)
+	capacity := lb.relativeCapacity(endpoint)
+	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * capacity / max(lb.endpointList.maxFleetCapacity, capacity)
 }
 
 // learnFleetBaseline learns what the fleet usually does, for slow start and for the verdict on a canary build.
@@ -101,29 +101,29 @@
 	lb.learnFleetCost(lb.baselineMostlyWarm(now), now)
 }
 
-// learnUsualThroughput learns what warm endpoints usually answer this gateway for their power. Answers are bounded by what
+// learnUsualThroughput learns what warm endpoints usually answer this gateway for their relative capacity. Answers are bounded by what
 // endpoints can serve; requests and attempts are not, where clients retry or endpoints fail fast. While most of the fleet
 // is warming up or missing, the earlier figure stands.
 func (lb *Balancer) learnUsualThroughput(now monotonic.Time) {
 	slowStart := &lb.slowStart
-	warmPower, answers, capacity := 0.0, 0.0, 0.0
+	warmCapacity, answers, capacity := 0.0, 0.0, 0.0
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready {
 			continue
 		}
-		capacity += slowStart.warmUpCapacity(now-endpoint.startedAt) * lb.power(endpoint)
+		capacity += slowStart.warmUpCapacity(now-endpoint.startedAt) * lb.relativeCapacity(endpoint)
 		if !slowStart.warmingUp(endpoint, now) {
-			warmPower += lb.power(endpoint)
+			warmCapacity += lb.relativeCapacity(endpoint)
 			answers += float64(endpoint.recentSuccesses.CountAfter(now - slowStart.overloadSpan))
 		}
 	}
-	if warmPower > lb.endpointList.maxPower/2 {
+	if warmCapacity > lb.endpointList.maxFleetCapacity/2 {
 		if slowStart.usualThroughput == 0 {
-			slowStart.usualThroughput = answers / warmPower
+			slowStart.usualThroughput = answers / warmCapacity
 		}
-		slowStart.usualThroughput += usualThroughputGain * (answers/warmPower - slowStart.usualThroughput)
+		slowStart.usualThroughput += usualThroughputGain * (answers/warmCapacity - slowStart.usualThroughput)
 	}
-	slowStart.shortage = max(1, min(maxShortageFactor, lb.endpointList.maxPower/max(capacity, minFleetCapacity)))
+	slowStart.shortageFactor = max(1, min(maxShortageFactor, lb.endpointList.maxFleetCapacity/max(capacity, minFleetCapacity)))
 }
 
 // recordBusyTime adds each endpoint's busy time since the last call, by its own report, to its evidence. An endpoint that
@@ -132,7 +132,7 @@
 func (lb *Balancer) recordBusyTime(now monotonic.Time) {
 	for _, endpoint := range lb.endpoints {
 		if lb.isWarm(endpoint, now-evidenceInterval) && now-endpoint.utilizationAt < utilizationTTL {
-			endpoint.evidence.busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
+			endpoint.evidence.busyTime += endpoint.utilization * lb.normalizedCapacity(endpoint)
 		}
 	}
 }
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -102,7 +102,7 @@
 		r.requestLog.answered(request.id, answerServed, decision.ReasonNone)
 		request.client.Respond(response.Value)
 	}
-	result := decision.AttemptResult{Outcome: outcome, Duration: duration, Settled: settled}
+	result := decision.AttemptResult{Outcome: outcome, Duration: duration, RequestCompleted: settled}
 	r.apply(request, r.balancer.FinishAttempt(attempt.state, result, now), now)
 }
 
--- a/internal/simulatoradapter/events.go
+++ b/internal/simulatoradapter/events.go
@@ -127,7 +127,7 @@
 	r.skip(4) // the endpoint
 	e.result.Outcome = decodeOutcome(r.uint8())
 	e.result.Duration = r.duration()
-	e.result.Settled = r.uint8() != 0
+	e.result.RequestCompleted = r.uint8() != 0
 	e.loadReport = r.loadReport()
 	return e
 }
