--- a/decision/canary.go
+++ b/decision/canary.go
@@ -140,12 +140,12 @@
 
 // stableInFlight returns how many attempts are in flight at ready endpoints of other builds than a canary one, and
 // the relative capacity of those.
-func (lb *Balancer) stableInFlight() (inFlight, capacity float64) {
+func (lb *Balancer) stableInFlight() (inFlight, relativeCapacity float64) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && !lb.isCanary(endpoint.build) {
 			inFlight += float64(len(endpoint.inFlight))
-			capacity += lb.relativeCapacity(endpoint)
+			relativeCapacity += lb.relativeCapacity(endpoint)
 		}
 	}
-	return inFlight, capacity
+	return inFlight, relativeCapacity
 }
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -126,18 +126,18 @@
 // updateFleetSize takes the ready endpoints into the fleet's largest size and returns the newest build among them. Endpoints
 // of a build under judgement do not count: they replace others.
 func (lb *Balancer) updateFleetSize() (newestBuild int) {
-	capacity, endpoints := 0.0, 0
+	relativeCapacity, endpoints := 0.0, 0
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready {
 			continue
 		}
 		newestBuild = max(newestBuild, endpoint.build)
 		if !lb.rollout.judging() || endpoint.build < lb.rollout.build {
-			capacity += lb.relativeCapacity(endpoint)
+			relativeCapacity += lb.relativeCapacity(endpoint)
 			endpoints++
 		}
 	}
-	lb.endpointList.maxFleetCapacity = max(lb.endpointList.maxFleetCapacity, capacity)
+	lb.endpointList.maxFleetCapacity = max(lb.endpointList.maxFleetCapacity, relativeCapacity)
 	lb.endpointList.maxEndpoints = max(lb.endpointList.maxEndpoints, endpoints)
 	return newestBuild
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -90,8 +90,8 @@
 
 // requestShare is how many of this gateway's requests of the last span fall to an endpoint by its capacity.
 func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
-	capacity := lb.relativeCapacity(endpoint)
-	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * capacity / max(lb.endpointList.maxFleetCapacity, capacity)
+	relativeCapacity := lb.relativeCapacity(endpoint)
+	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * relativeCapacity / max(lb.endpointList.maxFleetCapacity, capacity)
 }
 
 // learnFleetBaseline learns what the fleet usually does, for slow start and for the verdict on a canary build.
