--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -90,14 +90,14 @@
 func (lb *Balancer) medianRatesOfOthers(endpoint *Endpoint) (errorRate, lossRate float64, n int) {
 	for _, ranking := range lb.ratesByBuild {
 		if n = len(ranking.errorRates) - 1; ranking.build == endpoint.build && n > 0 {
-			return medianWithout(ranking.errorRates, endpoint.errorRate), medianWithout(ranking.lossRates, endpoint.lossRate()), n
+			return medianExcluding(ranking.errorRates, endpoint.errorRate), medianExcluding(ranking.lossRates, endpoint.lossRate()), n
 		}
 	}
 	return 1, 1, 0
 }
 
-// medianWithout returns the median of sorted figures without one of them; of two middle ones the upper.
-func medianWithout(sorted []float64, own float64) float64 {
+// medianExcluding returns the median of sorted figures without one of them; of two middle ones the upper.
+func medianExcluding(sorted []float64, own float64) float64 {
 	at := (len(sorted) - 1) / 2
 	if own <= sorted[at] {
 		at++
