--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -91,7 +91,7 @@
 // requestShare is how many of this gateway's requests of the last span fall to an endpoint by its capacity.
 func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
 	relativeCapacity := lb.relativeCapacity(endpoint)
-	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * relativeCapacity / max(lb.endpointList.maxFleetCapacity, capacity)
+	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * relativeCapacity / max(lb.endpointList.maxFleetCapacity, relativeCapacity)
 }
 
 // learnFleetBaseline learns what the fleet usually does, for slow start and for the verdict on a canary build.
