--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	queueBatch        = 64               // queued requests that Tick names at once
-	queueCheckTicks   = 2                // ticks until Tick is to be called again while requests are queued
-	expiryMarginTicks = 4                // ticks before a queued request's time runs out from which on Tick names it
-	maxTickInterval   = 10 * time.Second // between two calls of Tick
+	queueBatch        = 64               // number of requests at the head of the queue that each Tick returns
+	queueCheckTicks   = 2                // ticks until the next call of Tick while requests are queued
+	expiryMarginTicks = 4                // Tick returns a queued request this many ticks before it is too late to start it
+	maxTickInterval   = 10 * time.Second // longest time between two calls of Tick
 )
 
 // Balancer makes the decisions of one gateway. It is not safe for concurrent use.
 type Balancer struct {
-	rank, gateways int // this gateway's number, from 0 on, and how many there are
+	rank, gateways int // this gateway's number, starting at 0, and the number of gateways in the fleet
 	zone           int
-	tick           time.Duration // the shortest time between two calls of Tick
+	tick           time.Duration // shortest time between two calls of Tick
 	attemptLimits  attemptLimits
 	random         seeded.Source
 
 	started        bool           // Tick has been called
-	catchUpUntil   monotonic.Time // no attempt starts until then, after the process stalled
-	stallBeganAt   monotonic.Time // when the latest stall that has anything caught up began
-	stallNoticedAt monotonic.Time // when it was noticed
+	catchUpUntil   monotonic.Time // after a stall of the process, no attempt starts before this time
+	stallBeganAt   monotonic.Time // start of the latest stall that was followed by a catch-up
+	stallNoticedAt monotonic.Time // when that stall was noticed
 
 	opTypes        []*OpType
-	endpoints      []*Endpoint // those that the list names, and those with attempts in flight
+	endpoints      []*Endpoint // endpoints on the endpoint list, and endpoints with attempts in flight
 	machines       machineTypes
-	ratesByBuild   []buildRates // of the ready endpoints' error and loss rates, by build
+	ratesByBuild   []buildRates // error and loss rates of the ready endpoints, one entry per build
 	paths          pathHealth
-	verifiedBuilds map[int]bool // nil where every build is allowed
+	verifiedBuilds map[int]bool // nil if builds need no verification
 
 	admission    admissionState
 	canary       canaryState
@@ -42,8 +42,8 @@
 	rollout      rolloutState
 }
 
-// Route decides what becomes of a request that has no attempt in flight. It is the ordinary path of a request, from top to
-// bottom.
+// Route decides what to do next with a request that has no attempt in flight. Its checks are in the order in which a
+// request usually passes them.
 func (lb *Balancer) Route(request *Request, now monotonic.Time) Decision {
 	if request.completed || request.inFlight > 0 {
 		return Decision{Action: ActionNone}
@@ -51,14 +51,15 @@
 	if len(request.attempts) >= lb.attemptLimits.maxAttempts {
 		return lb.rejectOrFail(request, ReasonAttemptsExhausted)
 	}
-	// An attempt is made only if it is expected to end while its answer is still worth something.
+	// An attempt is made only if it is expected to end while its answer still has a value.
 	if lb.effectiveDeadline(request)-now <= time.Duration(lb.expectedLatency(request)) {
 		return lb.rejectOrFail(request, ReasonDeadlineTooClose)
 	}
 	if !lb.withinConcurrencyWindow(request, now) {
 		return lb.enqueue(request)
 	}
-	// The canary build comes first while its exposure cap allows, then other builds, and a suspect endpoint rather than none.
+	// The canary build has priority while its exposure cap allows it, followed by the other builds. Suspect endpoints
+	// are used only if there is no other candidate.
 	found := lb.candidates(request, now)
 	for _, endpoints := range [...][]*Endpoint{found.canary, found.stable, found.suspect} {
 		if len(endpoints) > 0 {
@@ -68,7 +69,8 @@
 	return lb.enqueue(request)
 }
 
-// startAttempt is the one place in which attempts start.
+// startAttempt starts an attempt at the endpoint, or queues the request if a rule forbids the attempt. No other
+// function starts attempts.
 func (lb *Balancer) startAttempt(request *Request, endpoint *Endpoint, now monotonic.Time) Decision {
 	if !lb.mayAttempt(request, endpoint, now) {
 		return lb.enqueue(request)
@@ -93,19 +95,20 @@
 	if lb.isCanary(endpoint.build) {
 		lb.canary.exposure.RecordAttempt(endpoint.build, request.opType.index, now)
 	}
-	// The timeout is the client's own: an endpoint may go on working at what is no longer waited for, and a concurrency
-	// limit that does not count that feeds an overload. Silent endpoints are found by cancelSilentAttempts instead.
+	// The attempt may use all the time that the client still waits. With a shorter timeout, an endpoint may go on
+	// working on an abandoned attempt that its concurrency limit no longer counts, which makes an overload worse.
+	// cancelSilentAttempts detects silent endpoints instead.
 	return Decision{Action: ActionForward, Endpoint: endpoint, Timeout: request.deadline - now, Attempt: attempt}
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome          Outcome
-	Duration         time.Duration // from its start to its end
-	RequestCompleted bool          // its request has its final answer
+	Duration         time.Duration // from the start of the attempt to its end
+	RequestCompleted bool          // the request has its final answer
 }
 
-// FinishAttempt takes in how an attempt ended and decides what becomes of its request.
+// FinishAttempt records the result of an attempt and decides what to do next with its request.
 func (lb *Balancer) FinishAttempt(attempt *Attempt, result AttemptResult, now monotonic.Time) Decision {
 	if attempt.done {
 		return Decision{Action: ActionNone}
@@ -127,7 +130,7 @@
 	return lb.Route(request, now)
 }
 
-// endAttempt takes an attempt out of those in flight.
+// endAttempt removes an attempt from the attempts in flight.
 func (lb *Balancer) endAttempt(attempt *Attempt, outcome Outcome, now monotonic.Time) {
 	attempt.done = true
 	attempt.request.inFlight--
@@ -142,7 +145,7 @@
 	}
 }
 
-// Tick returns what is due now, and the time until it is to be called again at the latest.
+// Tick returns the work that is due now, and the longest time to wait before the next call.
 func (lb *Balancer) Tick(now monotonic.Time) (time.Duration, DueWork) {
 	var due DueWork
 	if !lb.started {
@@ -162,7 +165,7 @@
 	return max(next-now, lb.tick), due
 }
 
-// start sets the first moments of what the balancer does by itself.
+// start schedules the first evidence report and the first discovery poll, and starts measuring the request rate.
 func (lb *Balancer) start(now monotonic.Time) {
 	lb.started = true
 	lb.admission.arrivalRate.Start(now - time.Millisecond)
@@ -170,7 +173,8 @@
 	lb.endpointList.polling.Start(lb.gateways, &lb.random, now)
 }
 
-// dueRequests returns the head of the queue, and the queued requests whose time is about to run out.
+// dueRequests returns the first queueBatch requests of the queue, and the other queued requests that will soon have too
+// little time left for an attempt.
 func (lb *Balancer) dueRequests(now monotonic.Time) []*Request {
 	var due []*Request
 	for place := range lb.admission.queue.Len() {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -1,7 +1,7 @@
 // Package decision makes the decisions of one gateway: which requests it admits, which endpoint gets an attempt, what
-// follows an attempt's outcome, and how the gateway votes on a canary build. It does no I/O, starts no goroutine and reads no clock;
-// every moment is an argument, and random draws come from a seed.
+// follows an attempt's outcome, and how the gateway votes on a canary build. It does no I/O, starts no goroutine and
+// reads no clock. The current time is always an argument, and random numbers come from a seed.
 //
-// Balancer composes the concerns. A request passes through Admit and Route; each attempt's outcome goes to FinishAttempt,
-// and Tick names what is due besides.
+// Balancer combines these decisions. A request passes through Admit and Route, FinishAttempt receives the outcome of
+// each attempt, and Tick returns all other work that is due.
 package decision
--- a/decision/rules.go
+++ b/decision/rules.go
@@ -4,7 +4,7 @@
 	"laurelring/decision/monotonic"
 )
 
-// mayAttempt checks an attempt against all rules, each on this gateway's own knowledge.
+// mayAttempt reports whether an attempt satisfies all rules, as far as this gateway knows.
 func (lb *Balancer) mayAttempt(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	return lb.requestMayBeAttempted(request, now) && lb.endpointUsable(endpoint, now) &&
 		lb.repeatAllowed(request, endpoint, now) &&
@@ -17,32 +17,35 @@
 		len(request.attempts) < lb.attemptLimits.maxAttempts && request.inFlight == 0
 }
 
-// endpointUsable reports whether an endpoint may get any request: the list, as far as it is trusted, names it as ready, and
-// its build is allowed.
+// endpointUsable reports whether an endpoint may get requests at all: the endpoint list names it as ready and is
+// trusted for it, and its build is allowed.
 func (lb *Balancer) endpointUsable(endpoint *Endpoint, now monotonic.Time) bool {
 	return endpoint.listed && endpoint.ready && lb.trusted(endpoint, now) && lb.buildAllowed(endpoint.build)
 }
 
-// AttemptAllowed reports whether an attempt of which nothing has gone out may still go: not once its client has left, its
-// endpoint is no longer usable or runs another build, or a canary build's exposure cap has come down to 0. It guards
-// against connections that come up late; a lower cap above 0 binds the attempts that follow, with the window.
+// AttemptAllowed reports whether an attempt of which nothing has been sent may still be sent. It may not if the request
+// is completed or its client has left, if the endpoint is no longer usable or runs another build, or if the attempt is
+// at a canary build whose exposure cap has dropped to 0. These things may change while the attempt waits for a
+// connection. A cap that was lowered, but not to 0, takes effect for later attempts only, through the exposure window.
 func (lb *Balancer) AttemptAllowed(attempt *Attempt, now monotonic.Time) bool {
 	endpoint := attempt.endpoint
 	return !attempt.request.completed && lb.endpointUsable(endpoint, now) && endpoint.build == attempt.build &&
 		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.cap <= 0)
 }
 
-// MaySend reports whether an attempt of which nothing has gone out may go out now: it is still allowed, its time is not over,
-// and what may speak against it has been read.
+// MaySend reports whether an attempt of which nothing has been sent may be sent now: it is still allowed, its deadline
+// has not passed, and no messages that could forbid it are still unread.
 func (lb *Balancer) MaySend(attempt *Attempt, now monotonic.Time) bool {
 	held := now < lb.catchUpUntil || lb.isCanary(attempt.build) && now < lb.canary.heldUntil
 	return lb.AttemptAllowed(attempt, now) && now < attempt.request.deadline && !held
 }
 
-// RequireVerifiedBuilds lets attempts go to verified builds only, of which none is known yet.
+// RequireVerifiedBuilds restricts attempts to verified builds. No build counts as verified until BuildVerified is
+// called.
 func (lb *Balancer) RequireVerifiedBuilds() { lb.verifiedBuilds = map[int]bool{} }
 
-// BuildVerified takes in whether a build is what was signed. Without RequireVerifiedBuilds it has no effect.
+// BuildVerified records whether a build is the one that was signed. It has no effect unless RequireVerifiedBuilds was
+// called.
 func (lb *Balancer) BuildVerified(build int, verified bool) {
 	if lb.verifiedBuilds == nil {
 		return
@@ -52,8 +55,8 @@
 	}
 }
 
-// buildAllowed reports whether a build may get requests. Where verification is required and nothing is verified, all
-// requests are queued, and refused when their time runs out.
+// buildAllowed reports whether a build may get requests. If verification is required and no build is verified, all
+// requests are queued, and rejected once too little time is left.
 func (lb *Balancer) buildAllowed(build int) bool {
 	return lb.verifiedBuilds == nil || lb.verifiedBuilds[build]
 }
