--- a/decision/health.go
+++ b/decision/health.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// The first ejection is short, and each further one twice as long as the one before.
+	// The first ejection lasts for initialEjection, and each further one twice as long, up to maxEjection.
 	initialEjection      = 300 * time.Millisecond
 	maxEjection          = 5 * time.Second
 	maxEjectionDoublings = 5
-	// At a gateway with few requests an ejection lasts for ejectionRequests of them, or it would be over by the next one,
-	// but no longer than maxEjectionByRequests.
+	// At a gateway with few requests, an ejection lasts for the time in which ejectionRequests arrive, as it would
+	// otherwise be over before the next request, but no longer than maxEjectionByRequests.
 	ejectionRequests      = 5
 	maxEjectionByRequests = 8 * time.Second
 
-	ejectionErrorRate = 0.3  // smoothed share of errors beyond the median of the build: an endpoint with more is ejected
-	errorGain         = 0.15 // of each error in an endpoint's error rate
-	errorRateDecay    = 0.85 // of the error rate after a success
+	ejectionErrorRate = 0.3  // an endpoint is ejected if its error rate exceeds the median of its build by more than this
+	errorGain         = 0.15 // weight of each error in the smoothed error rate of an endpoint
+	errorRateDecay    = 0.85 // factor on the error rate after each success
 )
 
-// endpointHealth is what this gateway's attempts, and the voters, say of an endpoint's health.
+// endpointHealth is the health of an endpoint, according to this gateway's attempts and to the voters.
 type endpointHealth struct {
-	lastResponseAt      monotonic.Time // the last sign of life
-	consecutiveFailures int            // ejections since the endpoint last counted as healthy
+	lastResponseAt      monotonic.Time // when this gateway last received anything from the endpoint
+	consecutiveFailures int            // number of ejections since the endpoint last counted as healthy
 	ejectedUntil        monotonic.Time
 	errorRate           float64        // smoothed share of errors
-	outlierUntil        monotonic.Time // until then the voters call it an outlier
+	outlierUntil        monotonic.Time // the voters consider the endpoint an outlier until this time
 }
 
-// endpointLoad is what this gateway has at an endpoint, and what the endpoint says of its load.
+// endpointLoad is the load that this gateway puts on an endpoint, and the load that the endpoint reports.
 type endpointLoad struct {
 	inFlight        []*Attempt           // in the order of their start
-	lastAttemptAt   monotonic.Time       // the last attempt since the endpoint's start became known; 0 for none
-	recentAttempts  slidingwindow.Window // within the spans of slow start and of the canary share
-	recentSuccesses slidingwindow.Window // within the span of slow start
+	lastAttemptAt   monotonic.Time       // start of the latest attempt since the endpoint's start became known; 0 if none
+	recentAttempts  slidingwindow.Window // covers both slowStartState.overloadSpan and canaryShareSpan
+	recentSuccesses slidingwindow.Window // covers slowStartState.overloadSpan
 	limit           concurrencyLimit
-	relativeLatency float64        // smoothed latency over the mean latency of the op type
-	utilization     float64        // as reported by it, or seen by a peer
-	utilizationAt   monotonic.Time // when that was received; 0 for never
+	relativeLatency float64        // smoothed ratio of the latency to the mean latency of the op type
+	utilization     float64        // reported by the endpoint to this gateway or to a peer
+	utilizationAt   monotonic.Time // when utilization was received; 0 if never
 }
 
-// isSuspect reports whether an endpoint is ejected, on probation with an attempt in flight, silent, or an outlier by the
-// voters' word. A small share of the requests may try an outlier again; each call that gets as far makes a random draw.
+// isSuspect reports whether an endpoint is ejected, on probation with an attempt in flight, overdue, or an outlier
+// according to the voters. To let outliers be tried again, it returns false for a random outlierProbeShare of the calls
+// for an endpoint that is an outlier and nothing else. Each of these calls draws a random number.
 func (lb *Balancer) isSuspect(endpoint *Endpoint, now monotonic.Time) bool {
 	return now < endpoint.ejectedUntil || endpoint.consecutiveFailures > 0 && len(endpoint.inFlight) > 0 || lb.isOverdue(endpoint, now) ||
 		now < endpoint.outlierUntil && float64(lb.random.Below(1000)) >= 1000*outlierProbeShare
 }
 
-// updateHealth takes an outcome into what is known of its endpoint, its zone and its op type.
+// updateHealth updates the health data of the endpoint, the zone and the op type with the outcome of an attempt.
 func (lb *Balancer) updateHealth(attempt *Attempt, outcome Outcome, duration time.Duration, now monotonic.Time) {
 	endpoint, op := attempt.endpoint, attempt.request.opType
 	if outcome == OutcomeSuccess || outcome == OutcomeError || outcome == OutcomeRejected {
@@ -80,7 +81,7 @@
 	endpoint.recordOwnResults(1, 0, now)
 	endpoint.recentSuccesses.Add(now, lb.slowStart.overloadSpan)
 	endpoint.errorRate *= errorRateDecay
-	if endpoint.errorRate < ejectionErrorRate { // an endpoint that fails most requests and answers some stays on probation
+	if endpoint.errorRate < ejectionErrorRate { // an endpoint that answers some requests but fails most stays on probation
 		endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, 0
 	}
 	latency := float64(duration)
@@ -102,7 +103,7 @@
 	}
 }
 
-// recordFailure takes in an attempt that got no answer, or that its endpoint refused.
+// recordFailure records an attempt that got no answer or that the endpoint rejected.
 func (lb *Balancer) recordFailure(attempt *Attempt, outcome Outcome, duration time.Duration, now monotonic.Time) {
 	endpoint := attempt.endpoint
 	endpoint.limit.decrease(now)
@@ -110,17 +111,17 @@
 		lb.adjustConcurrencyWindow(endpoint, true)
 	}
 	if outcome == OutcomeTimeout && endpoint.lastResponseAt > attempt.sentAt {
-		attempt.request.opType.observeLatency(float64(duration)) // the endpoint was at work, so this is its latency as well
+		attempt.request.opType.observeLatency(float64(duration)) // the endpoint was responding, so this is its latency as well
 	}
-	// The endpoint is full, drains though it is not listed so, crashed, or was silent. Every gateway sees the same crash,
-	// so a single one must not count against the build at each.
+	// The endpoint is full, is draining although the list does not say so, has crashed, or was silent. Every gateway
+	// sees the same crash, so it must not count against the build at each of them.
 	if outcome == OutcomeConnectFailed || outcome == OutcomeRejected || outcome == OutcomeConnectionLost || endpoint.lastResponseAt < attempt.sentAt {
 		lb.eject(endpoint, now)
 	}
 }
 
-// eject leaves an endpoint without attempts for a time. After that it is on probation: one attempt at a time, until one
-// succeeds.
+// eject takes an endpoint out of normal selection for a time. It is then on probation, with one attempt at a time,
+// until it counts as healthy again after a success.
 func (lb *Balancer) eject(endpoint *Endpoint, now monotonic.Time) {
 	endpoint.consecutiveFailures++
 	byRequests := time.Duration(ejectionRequests) * canaryShareSpan / time.Duration(max(1, lb.slowStart.arrivals.CountAfter(now-canaryShareSpan)))
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	observationDecay   = 2 * time.Second // time constant over which the gateways' results at an endpoint are counted
-	outlierMinLosses   = 3.0             // an outlier has lost at least so many attempts lately,
-	outlierLossMargin  = 0.5             // and a share of all that is so much above the median of its build
-	outlierProbeShare  = 0.04            // of the requests may try an outlier
-	minResultsForRates = 0.5             // an endpoint with fewer results lately is not ranked
+	observationDecay   = 2 * time.Second // time constant of the decay of an endpoint's results
+	outlierMinLosses   = 3.0             // decayed number of lost attempts from which an endpoint can become an outlier
+	outlierLossMargin  = 0.5             // an outlier's loss rate exceeds the median of its build by more than this
+	outlierProbeShare  = 0.04            // share of the requests that may still use an outlier
+	minResultsForRates = 0.5             // decayed number of results below which an endpoint's rates are not used
 )
 
-// endpointResults are the answered and lost attempts of all gateways at an endpoint, as far as they are known here.
+// endpointResults holds the answered and lost attempts of all gateways at an endpoint, as far as this gateway knows
+// them.
 type endpointResults struct {
-	decayedSuccesses, decayedLosses float64 // decayed to decayedAt
+	decayedSuccesses, decayedLosses float64 // as of decayedAt
 	decayedAt                       monotonic.Time
 }
 
-// recordResults counts attempts at an endpoint, of this gateway or of a peer. With zeros it only lets the older ones decay.
+// recordResults counts attempts at an endpoint, made by this gateway or by a peer. If both numbers are 0, it only
+// decays the earlier results.
 func (endpoint *Endpoint) recordResults(successes, losses int, now monotonic.Time) {
 	left := decay.Factor(endpoint.decayedAt, now, observationDecay)
 	endpoint.decayedSuccesses = endpoint.decayedSuccesses*left + float64(successes)
@@ -30,21 +32,24 @@
 	endpoint.decayedAt = now
 }
 
-// recordOwnResults counts attempts of this gateway, for the next report to the voters as well.
+// recordOwnResults counts attempts of this gateway, and adds them to its next report to the voters.
 func (endpoint *Endpoint) recordOwnResults(successes, losses int, now monotonic.Time) {
 	endpoint.recordResults(successes, losses, now)
 	endpoint.unreported.successes += successes
 	endpoint.unreported.losses += losses
 }
 
-// lossRate is the share of the attempts that were lost lately.
+// lossRate returns the share of the recent attempts that were lost. The 1 in the denominator keeps the rate low while
+// there are few results.
 func (endpoint *Endpoint) lossRate() float64 {
 	return endpoint.decayedLosses / (endpoint.decayedSuccesses + endpoint.decayedLosses + 1)
 }
 
-// detectOutliers returns the endpoints at which the gateways together lose far more attempts than at others of the same
-// build. One gateway among hundreds meets an endpoint too seldom to see in time that it hangs, is dead or fails. Where most
-// endpoints of a build lose attempts, or only some gateways do, there is no outlier. One that lost much stays one a while.
+// detectOutliers returns the endpoints at which all gateways together lose far more attempts than at other endpoints of
+// the same build. One gateway among hundreds sends an endpoint too few requests to notice in time that it hangs, is
+// dead or fails. If most endpoints of a build lose attempts, or only some gateways lose them, no endpoint is an
+// outlier. An outlier remains one until outlierUntil with fewer than outlierMinLosses, as long as its loss rate stays
+// that high.
 func (lb *Balancer) detectOutliers(now monotonic.Time) []*Endpoint {
 	var outliers []*Endpoint
 	for _, endpoint := range lb.endpoints {
@@ -58,45 +63,48 @@
 	return outliers
 }
 
-// buildRates holds the sorted figures of one build's ready endpoints.
+// buildRates holds the sorted error and loss rates of one build's ready endpoints.
 type buildRates struct {
 	build                 int
 	errorRates, lossRates []float64
 }
 
-// updateRatesByBuild sorts the error and loss rates of the ready endpoints of each build, of those with results lately.
+// updateRatesByBuild collects and sorts, for each build, the error and loss rates of the ready endpoints that have
+// recent results.
 func (lb *Balancer) updateRatesByBuild() {
 	all := lb.ratesByBuild[:0]
 	for _, endpoint := range lb.endpoints {
 		if !endpoint.ready || endpoint.decayedSuccesses+endpoint.decayedLosses < minResultsForRates {
 			continue
 		}
-		i := slices.IndexFunc(all, func(ranking buildRates) bool { return ranking.build == endpoint.build })
+		i := slices.IndexFunc(all, func(rates buildRates) bool { return rates.build == endpoint.build })
 		if i < 0 {
 			i, all = len(all), append(all, buildRates{build: endpoint.build})
 		}
-		ranking := &all[i]
-		ranking.errorRates, ranking.lossRates = append(ranking.errorRates, endpoint.errorRate), append(ranking.lossRates, endpoint.lossRate())
+		rates := &all[i]
+		rates.errorRates, rates.lossRates = append(rates.errorRates, endpoint.errorRate), append(rates.lossRates, endpoint.lossRate())
 	}
-	for _, ranking := range all {
-		slices.Sort(ranking.errorRates)
-		slices.Sort(ranking.lossRates)
+	for _, rates := range all {
+		slices.Sort(rates.errorRates)
+		slices.Sort(rates.lossRates)
 	}
 	lb.ratesByBuild = all
 }
 
-// medianRatesOfOthers returns the medians over the n other ready endpoints of an endpoint's build, as last ranked: what most of
-// them suffer is the build's, and no reason to eject one. Without others both rates are 1.
+// medianRatesOfOthers returns the median error and loss rates of the n other ready endpoints of an endpoint's build, as
+// of the last call of updateRatesByBuild. Errors that most of them have are caused by the build and are no reason to
+// eject one endpoint. Without other endpoints both rates are 1.
 func (lb *Balancer) medianRatesOfOthers(endpoint *Endpoint) (errorRate, lossRate float64, n int) {
-	for _, ranking := range lb.ratesByBuild {
-		if n = len(ranking.errorRates) - 1; ranking.build == endpoint.build && n > 0 {
-			return medianExcluding(ranking.errorRates, endpoint.errorRate), medianExcluding(ranking.lossRates, endpoint.lossRate()), n
+	for _, rates := range lb.ratesByBuild {
+		if n = len(rates.errorRates) - 1; rates.build == endpoint.build && n > 0 {
+			return medianExcluding(rates.errorRates, endpoint.errorRate), medianExcluding(rates.lossRates, endpoint.lossRate()), n
 		}
 	}
 	return 1, 1, 0
 }
 
-// medianExcluding returns the median of sorted figures without one of them; of two middle ones the upper.
+// medianExcluding returns the median of sorted values without one of them, which is given as own. If two values are in
+// the middle, it returns the larger one.
 func medianExcluding(sorted []float64, own float64) float64 {
 	at := (len(sorted) - 1) / 2
 	if own <= sorted[at] {
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// ejectedProbeInterval is how often a suspect endpoint gets an attempt where no other endpoint is left.
+	// ejectedProbeInterval is the shortest time between two attempts at a suspect endpoint, which gets attempts only if
+	// no other endpoint is left.
 	ejectedProbeInterval = 100 * time.Millisecond
 
-	retryPenalty      = 4    // times the load that an endpoint counts with for a request that it has failed already
-	crossZonePenalty  = 10   // how much the load in another zone counts more, for each unit of a crossing's cost
-	minComparableSize = 0.01 // an endpoint counts as no smaller
+	retryPenalty      = 4    // factor on an endpoint's load for each earlier attempt of the same request there
+	crossZonePenalty  = 10   // relative increase of the load in another zone, per unit of the cross-zone cost
+	minComparableSize = 0.01 // lower bound of an endpoint's size when loads are compared
 )
 
-// candidates are the endpoints that may get an attempt of a request.
+// candidates holds the endpoints that may get an attempt of a request.
 type candidates struct {
-	canary  []*Endpoint // healthy endpoints with room that run a canary build
-	stable  []*Endpoint // and those of other builds
-	suspect []*Endpoint // for a rare probe, where no healthy endpoint may serve the request at all
+	canary  []*Endpoint // healthy endpoints of canary builds that are below their limits
+	stable  []*Endpoint // healthy endpoints of other builds that are below their limits
+	suspect []*Endpoint // suspect endpoints to probe; empty if any healthy endpoint may serve the request, full or not
 }
 
-// candidates returns the endpoints that may get an attempt of a request. Suspect ones are among them only while no healthy
-// one may serve it, full or not, and each only now and then: an endpoint that fails fast is never full and would get all.
+// candidates returns the endpoints that may get an attempt of a request. Suspect endpoints are included only if no
+// healthy endpoint may serve the request, full or not, and each at most once per ejectedProbeInterval. An endpoint that
+// fails fast is never full and would otherwise get all requests.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
-	var canary, stable, suspect []*Endpoint // local, so that the compiler keeps the short ones off the heap
+	var canary, stable, suspect []*Endpoint // local variables, so that the compiler keeps short slices off the heap
 	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
 	stableInFlight, stableCapacity := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
@@ -57,18 +59,20 @@
 	}
 }
 
-// onProbationFor reports whether an endpoint that failed lately is not to get a request that must not execute twice.
+// onProbationFor reports whether an endpoint must not get a request because it failed lately or is an outlier. This
+// applies to non-idempotent requests only, as they must not execute twice.
 func (lb *Balancer) onProbationFor(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	return (endpoint.consecutiveFailures > 0 || now < endpoint.outlierUntil) && request.opType.idempotency == NonIdempotent
 }
 
-// mayProbe reports whether a suspect endpoint may get a request.
+// mayProbe reports whether a suspect endpoint may get a request: it has had no attempt within ejectedProbeInterval, and
+// it is not overdue if the request is non-idempotent.
 func (lb *Balancer) mayProbe(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	return endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 &&
 		!(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now))
 }
 
-// leastLoadedOfTwo draws two endpoints at random and returns the one with the lower load.
+// leastLoadedOfTwo picks two endpoints at random and returns the one with the lower load.
 func (lb *Balancer) leastLoadedOfTwo(endpoints []*Endpoint, request *Request) *Endpoint {
 	n := len(endpoints)
 	first := lb.random.Below(n)
@@ -80,8 +84,8 @@
 	return a
 }
 
-// loadOf is the load by which two endpoints are compared for a request: this gateway's own attempts in flight there, by
-// the endpoint's size and speed.
+// loadOf returns the load by which endpoints are compared for a request: this gateway's own attempts in flight at the
+// endpoint, relative to its size and speed, with penalties for retries and for leaving the zone.
 func (lb *Balancer) loadOf(endpoint *Endpoint, request *Request) float64 {
 	load := float64(len(endpoint.inFlight)+1) * endpoint.relativeLatency / max(endpoint.size, minComparableSize)
 	for _, attempt := range request.attempts {
