--- a/decision/concurrencylimit.go
+++ b/decision/concurrencylimit.go
@@ -10,30 +10,30 @@
 	initialConcurrencyLimit = 12.0 // of this gateway's attempts at an endpoint
 	minConcurrencyLimit     = 1
 	maxConcurrencyLimit     = 200.0
-	congestedShare          = 0.35 // of the latency objective: an answer that took longer lowers the limit
-	limitDecrease           = 0.85 // the limit's factor after a congested answer, or none
-	limitIncrease           = 0.15 // small, so that about one answer in ten may be congested and not one in two
+	congestedShare          = 0.35 // an answer that takes longer than this share of the latency objective is congested
+	limitDecrease           = 0.85 // factor on the limit after a congested answer or a failed attempt
+	limitIncrease           = 0.15 // small, so that about one answer in ten may be congested, and not one in two
 	limitDecreaseInterval   = 100 * time.Millisecond
 )
 
-// concurrencyLimit is how many of this gateway's attempts may be in flight at an endpoint. It grows with answers in time
-// and shrinks with congested ones, so that the endpoint's queue stays short.
+// concurrencyLimit limits how many of this gateway's attempts may be in flight at an endpoint. It grows with timely
+// answers and shrinks with congested answers and failed attempts, so that the endpoint's queue stays short.
 type concurrencyLimit struct {
 	size        float64 // 0 before the endpoint is first listed
 	decreasedAt monotonic.Time
 }
 
-// allows reports whether one more attempt may start beside those in flight.
+// allows reports whether one more attempt may start while inFlight attempts are in flight.
 func (l *concurrencyLimit) allows(inFlight int) bool { return float64(inFlight) < l.size }
 
-// increase raises the limit, if at least half of it is in use.
+// increase raises the limit if, with the attempt that was just answered, more than half of it was in use.
 func (l *concurrencyLimit) increase(inFlight int) {
 	if float64(inFlight+1) > l.size/2 {
 		l.size = min(maxConcurrencyLimit, l.size+limitIncrease/l.size)
 	}
 }
 
-// decrease lowers the limit, once for all that goes wrong within an interval.
+// decrease lowers the limit, at most once within limitDecreaseInterval.
 func (l *concurrencyLimit) decrease(now monotonic.Time) {
 	if now-l.decreasedAt > limitDecreaseInterval {
 		l.size, l.decreasedAt = max(minConcurrencyLimit, l.size*limitDecrease), now
--- a/decision/machinetype.go
+++ b/decision/machinetype.go
@@ -1,25 +1,25 @@
 package decision
 
 const (
-	endpointLatencyGain    = 0.08 // of each answer in the relative latency of its endpoint
-	machineTypeLatencyGain = 0.01 // and in that of its machine type, and of all
+	endpointLatencyGain    = 0.08 // weight of each answer in the smoothed relative latency of its endpoint
+	machineTypeLatencyGain = 0.01 // weight of each answer in the relative latencies of its machine type and of all types
 	minRelativeLatency     = 0.3
 	maxRelativeLatency     = 6
-	maxLatencySample       = 8 // a single answer counts as no slower than this
+	maxLatencySample       = 8 // limit of the relative latency of a single answer
 )
 
-// machineTypes is what the answers have taught of the fleet's kinds of machine.
+// machineTypes holds the relative latencies of the fleet's machine types, learned from answers.
 type machineTypes struct {
 	byNumber            []*machineType
-	meanRelativeLatency float64 // of the answers of all machine types
+	meanRelativeLatency float64 // smoothed over the answers of all machine types
 }
 
-// machineType is one kind of machine.
+// machineType is one type of machine.
 type machineType struct {
-	relativeLatency float64 // smoothed latency of the answers over the mean latency of their op type
+	relativeLatency float64 // smoothed ratio of the latency of its answers to the mean latency of their op type
 }
 
-// machineType returns what is known of a machine type.
+// machineType returns the machine type with a number, adding it if it is not known yet.
 func (lb *Balancer) machineType(number int) *machineType {
 	machines := &lb.machines
 	for len(machines.byNumber) <= number {
@@ -28,8 +28,9 @@
 	return machines.byNumber[number]
 }
 
-// observeRelativeLatency takes an answer's latency, over the mean latency of its op type, into that of its endpoint, and
-// into that of its machine type unless a canary build may be the cause of it.
+// observeRelativeLatency updates the relative latency of an endpoint with the latency of one answer, given as its ratio
+// to the mean latency of the op type. It also updates that of the machine type and of all types, unless a build under
+// judgement may have caused the latency.
 func (lb *Balancer) observeRelativeLatency(endpoint *Endpoint, ratio float64) {
 	ratio = min(ratio, maxLatencySample)
 	endpoint.relativeLatency = smoothRelativeLatency(endpoint.relativeLatency, ratio, endpointLatencyGain)
@@ -44,13 +45,13 @@
 	return max(minRelativeLatency, min(maxRelativeLatency, mean+gain*(ratio-mean)))
 }
 
-// relativeCapacity is an endpoint's capacity relative to others: its size at the speed of its machine type.
+// relativeCapacity returns an endpoint's capacity relative to others: its size times the speed of its machine type.
 func (lb *Balancer) relativeCapacity(endpoint *Endpoint) float64 {
 	return endpoint.size / lb.machineType(endpoint.machineType).relativeLatency
 }
 
-// normalizedCapacity is relativeCapacity at the mean speed of all machine types: where there is one type it is the endpoint's size,
-// however its answers go.
+// normalizedCapacity returns the relative capacity divided by the mean speed of all machine types. If there is only one
+// type, it is the endpoint's size, whatever the latency of its answers.
 func (lb *Balancer) normalizedCapacity(endpoint *Endpoint) float64 {
 	return lb.relativeCapacity(endpoint) * lb.machines.meanRelativeLatency
 }
--- a/decision/paths.go
+++ b/decision/paths.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	zoneLateMargin = 0.2              // a zone whose late rate is so much above that of the gateway's own zone is avoided
-	zoneLateGain   = 0.15             // of each attempt in the late rate of its zone
-	zoneLateDecay  = 15 * time.Second // time constant after which a late rate is forgotten
+	zoneLateMargin = 0.2              // a zone is avoided if its late rate exceeds that of the own zone by at least this
+	zoneLateGain   = 0.15             // weight of each attempt in the smoothed late rate of its zone
+	zoneLateDecay  = 15 * time.Second // time constant of the decay of a zone's late rate
 
-	connectFailureThreshold = 0.3 // at a higher rate only endpoints are used that answered within responsiveTTL
-	connectFailureGain      = 0.1 // of each failure in the rate
-	connectFailureDecay     = 0.9 // of the rate after a success
+	connectFailureThreshold = 0.3 // from this failure rate on, only endpoints that responded within responsiveTTL are used
+	connectFailureGain      = 0.1 // weight of each failure in the smoothed failure rate
+	connectFailureDecay     = 0.9 // factor on the failure rate after each success
 	responsiveTTL           = 10 * time.Second
 )
 
-// pathHealth is how this gateway's attempts fare on the way to the endpoints.
+// pathHealth is the health of the network paths from this gateway to the endpoints.
 type pathHealth struct {
 	zones              []zoneHealth // by zone
-	connectFailureRate float64      // smoothed share of the attempts without a connection
+	connectFailureRate float64      // smoothed share of attempts whose connection failed or was lost
 }
 
-// zoneHealth is how the attempts to one zone fare.
+// zoneHealth is the health of the network path to one zone.
 type zoneHealth struct {
 	lateRate  float64 // smoothed share of attempts that were late or lost
 	updatedAt monotonic.Time
 }
 
-// zoneLateRate is the share of the attempts to a zone that were late or lost, forgotten with time.
+// zoneLateRate returns the smoothed share of the attempts to a zone that were late or lost, which decays with time.
 func (p *pathHealth) zoneLateRate(zone int, now monotonic.Time) float64 {
 	if zone >= len(p.zones) {
 		return 0
@@ -55,9 +55,9 @@
 
 func (p *pathHealth) recordConnected() { p.connectFailureRate *= connectFailureDecay }
 
-// preferHealthyZones leaves out the endpoints of other zones from which far more attempts are late or lost than from the
-// gateway's own. It guards against paths between zones that are slow, lossy or cut. Where the own zone is short of
-// endpoints, its answers are late too, and the others are used again.
+// preferHealthyZones removes the endpoints of other zones in which far more attempts are late or lost than in the
+// gateway's own zone. It guards against paths between zones that are slow, lossy or cut. If the own zone has too few
+// endpoints, its answers become late as well, and the other zones are used again.
 func (lb *Balancer) preferHealthyZones(endpoints []*Endpoint, now monotonic.Time) []*Endpoint {
 	limit := lb.paths.zoneLateRate(lb.zone, now) + zoneLateMargin
 	return filterOrAll(endpoints, func(endpoint *Endpoint) bool {
@@ -65,9 +65,9 @@
 	})
 }
 
-// preferResponsive keeps to the endpoints that answered this gateway lately where many attempts find no connection: those
-// connections may still be open. It guards against endpoints that accept few connections and paths that are closed to this
-// gateway alone; it may crowd a few endpoints.
+// preferResponsive keeps only the endpoints that responded to this gateway recently if many attempts fail to connect,
+// as their connections may still be open. It guards against endpoints that accept few connections and against paths
+// that are closed to this gateway alone. It may concentrate the load on a few endpoints.
 func (lb *Balancer) preferResponsive(endpoints []*Endpoint, now monotonic.Time) []*Endpoint {
 	if lb.paths.connectFailureRate < connectFailureThreshold {
 		return endpoints
@@ -75,7 +75,7 @@
 	return filterOrAll(endpoints, func(endpoint *Endpoint) bool { return endpoint.lastResponseAt > now-responsiveTTL })
 }
 
-// filterOrAll returns the endpoints that are wanted, or all where none is.
+// filterOrAll returns the wanted endpoints, or all endpoints if none of them is wanted.
 func filterOrAll(endpoints []*Endpoint, wanted func(*Endpoint) bool) []*Endpoint {
 	var chosen []*Endpoint
 	for _, endpoint := range endpoints {
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -20,12 +20,13 @@
 type candidates struct {
 	canary  []*Endpoint // healthy endpoints of canary builds that are below their limits
 	stable  []*Endpoint // healthy endpoints of other builds that are below their limits
-	suspect []*Endpoint // suspect endpoints to probe; empty if any healthy endpoint may serve the request, full or not
+	suspect []*Endpoint // suspect endpoints to probe if both other lists are empty; nil if a healthy endpoint is full
 }
 
-// candidates returns the endpoints that may get an attempt of a request. Suspect endpoints are included only if no
-// healthy endpoint may serve the request, full or not, and each at most once per ejectedProbeInterval. An endpoint that
-// fails fast is never full and would otherwise get all requests.
+// candidates returns the endpoints that may get an attempt of a request. Suspect endpoints are for requests that no
+// healthy endpoint may serve, not for requests that could be queued until a healthy endpoint has room again, and each
+// of them gets at most one attempt per ejectedProbeInterval. An endpoint that fails fast is never full and would
+// otherwise get all requests.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
 	var canary, stable, suspect []*Endpoint // local variables, so that the compiler keeps short slices off the heap
 	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	utilizationTTL       = 2 * time.Second // an older report of an endpoint's utilization does not count
-	usualThroughputGain  = 0.15            // of each new figure in the usual throughput
-	slowStartShare       = 0.65            // of the multiple that overloads a warming endpoint; the rest is left for random bursts
-	maxSlowStartCapacity = 1.1             // times what a warming endpoint can serve: more would only queue there
-	maxShortageFactor    = 1.5             // times the usual for warming and canary endpoints while others are missing
+	utilizationTTL       = 2 * time.Second // an endpoint's report of its utilization is ignored once it is older
+	usualThroughputGain  = 0.15            // weight of each new value in the smoothed usual throughput
+	slowStartShare       = 0.65            // share of overloadMultiple that is used; the rest is left for random bursts
+	maxSlowStartCapacity = 1.1             // limit, relative to what a warming endpoint can serve; more would only queue there
+	maxShortageFactor    = 1.5             // limit of shortageFactor
 	minBudgetRate        = 1e-9            // requests a second; keeps the gap between attempts finite
-	minFleetCapacity     = 0.01
+	minFleetCapacity     = 0.01            // avoids a division by zero while no endpoint is ready
 )
 
-// slowStartState bounds the attempts at endpoints that have started lately.
+// slowStartState limits the attempts at endpoints that have started recently.
 type slowStartState struct {
-	initialCapacity  float64       // share of its capacity that an endpoint has at its start
-	warmUp           time.Duration // until it has all of it
-	overloadMultiple float64       // of its present capacity: with more requests it is overloaded
-	overloadSpan     time.Duration // over which those are counted
-
-	arrivals        slidingwindow.Window // this gateway's requests
-	shortageFactor  float64              // from 1 on: how much more than usual falls to each endpoint, as others are missing or warming up
-	usualThroughput float64              // this gateway's answers from a warm endpoint within overloadSpan, per unit of relative capacity
+	initialCapacity  float64       // share of its full capacity that an endpoint has when it starts
+	warmUp           time.Duration // time from the start of an endpoint until it has its full capacity
+	overloadMultiple float64       // an endpoint that gets more than this multiple of its current capacity is overloaded
+	overloadSpan     time.Duration // time over which the requests at an endpoint are counted for overloadMultiple
+
+	arrivals slidingwindow.Window // this gateway's requests
+	// shortageFactor is the factor by which the load on each endpoint exceeds the usual load, as others are missing or
+	// warming up. It is at least 1, and raises the limits of warming and canary endpoints.
+	shortageFactor  float64
+	usualThroughput float64 // answers to this gateway from a warm endpoint within overloadSpan, per unit of relative capacity
 }
 
 func newSlowStartState(config SlowStartConfig) slowStartState {
@@ -39,25 +41,25 @@
 	}
 }
 
-// warmUpCapacity is the share of its capacity that an endpoint of an age has at least.
+// warmUpCapacity returns the share of its full capacity that an endpoint of an age has at least.
 func (s *slowStartState) warmUpCapacity(age time.Duration) float64 {
 	return s.initialCapacity + (1-s.initialCapacity)*max(0, min(1, float64(age)/float64(max(s.warmUp, 1))))
 }
 
-// warmingUp reports whether attempts at an endpoint are bounded: from its start until all requests of a span of overload
-// came after it was warm.
+// warmingUp reports whether attempts at an endpoint are limited by slow start: from its start until overloadSpan after
+// the end of its warm-up, so that all requests within overloadSpan met a warm endpoint.
 func (s *slowStartState) warmingUp(endpoint *Endpoint, now monotonic.Time) bool {
 	return endpoint.startedAt > 0 && now-endpoint.startedAt <= s.warmUp+s.overloadSpan
 }
 
-// recordArrival counts a request.
+// recordArrival counts a request that has arrived at this gateway.
 func (s *slowStartState) recordArrival(now monotonic.Time) {
 	s.arrivals.Add(now, max(s.overloadSpan, canaryShareSpan))
 }
 
-// withinSlowStart reports whether an endpoint may get one more attempt within the budget that its age allows. Gateways do
-// not know each other's attempts: if each keeps to a fraction of what an endpoint of that size would get of its own
-// requests, the sum keeps to that fraction as well.
+// withinSlowStart reports whether an endpoint may get one more attempt within the budget that its age allows. Gateways
+// do not know each other's attempts. But if each limits a warming endpoint to a fraction of the share of its own
+// requests that an endpoint of this size would get, all gateways together keep to that fraction as well.
 func (lb *Balancer) withinSlowStart(endpoint *Endpoint, now monotonic.Time) bool {
 	slowStart := &lb.slowStart
 	if !slowStart.warmingUp(endpoint, now) {
@@ -73,10 +75,11 @@
 	return lb.withinBudget(budget, endpoint, slowStart.overloadSpan, now)
 }
 
-// withinBudget reports whether an endpoint's budget of attempts for a span allows one more. A budget below one attempt
-// spaces them out over more than the span, from a random first moment, so that the budgets of many gateways that see little
-// each add up to what they should. It guards against hundreds of gateways that each think one attempt little. The rate of
-// requests is smoothed, as a random burst would make the share look larger.
+// withinBudget reports whether an endpoint's budget of attempts for a span allows one more. If the budget is below one
+// attempt, the attempts are spaced further apart than the span, and the first one is due at a random time, so that the
+// budgets of many gateways with few requests each add up to the intended total. If each of hundreds of gateways rounded
+// its budget up to one attempt, the endpoint would be overloaded. The request rate is smoothed, as a random burst would
+// make the budget look larger.
 func (lb *Balancer) withinBudget(budget float64, endpoint *Endpoint, span time.Duration, now monotonic.Time) bool {
 	if budget >= 1 {
 		return float64(endpoint.recentAttempts.CountAfter(now-span-lb.tick)+1) <= budget
@@ -88,22 +91,25 @@
 	return float64(now-endpoint.lastAttemptAt) >= gap
 }
 
-// requestShare is how many of this gateway's requests of the last span fall to an endpoint by its capacity.
+// requestShare returns how many of this gateway's requests within the last span an endpoint would get if they were
+// distributed by relative capacity over the largest fleet seen so far.
 func (lb *Balancer) requestShare(endpoint *Endpoint, span time.Duration, now monotonic.Time) float64 {
 	relativeCapacity := lb.relativeCapacity(endpoint)
 	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * relativeCapacity / max(lb.endpointList.maxFleetCapacity, relativeCapacity)
 }
 
-// learnFleetBaseline learns what the fleet usually does, for slow start and for the verdict on a canary build.
+// learnFleetBaseline learns the usual throughput, busy time and request cost of the fleet, which slow start and the
+// verdict on a canary build are based on.
 func (lb *Balancer) learnFleetBaseline(now monotonic.Time) {
 	lb.learnUsualThroughput(now)
 	lb.recordBusyTime(now)
 	lb.learnFleetCost(lb.baselineMostlyWarm(now), now)
 }
 
-// learnUsualThroughput learns what warm endpoints usually answer this gateway for their relative capacity. Answers are bounded by what
-// endpoints can serve; requests and attempts are not, where clients retry or endpoints fail fast. While most of the fleet
-// is warming up or missing, the earlier figure stands.
+// learnUsualThroughput learns how many answers per unit of relative capacity warm endpoints usually give this gateway,
+// and updates shortageFactor. Answers are limited by what endpoints can serve. Requests and attempts are not, if
+// clients retry or endpoints fail fast. While most of the fleet is warming up or missing, the earlier throughput is
+// kept.
 func (lb *Balancer) learnUsualThroughput(now monotonic.Time) {
 	slowStart := &lb.slowStart
 	warmCapacity, answers, capacity := 0.0, 0.0, 0.0
@@ -126,9 +132,10 @@
 	slowStart.shortageFactor = max(1, min(maxShortageFactor, lb.endpointList.maxFleetCapacity/max(capacity, minFleetCapacity)))
 }
 
-// recordBusyTime adds each endpoint's busy time since the last call, by its own report, to its evidence. An endpoint that
-// nobody reaches reports the same for ever, and one that has just become warm the work of the whole interval: neither
-// counts.
+// recordBusyTime adds the busy time of each endpoint since the last call to the endpoint's evidence, based on the
+// utilization that the endpoint reports. It skips endpoints without a recent report, as an endpoint that nobody reaches
+// would keep its last utilization for ever. It also skips endpoints that became warm less than evidenceInterval ago,
+// as their utilization covers work from before they were warm.
 func (lb *Balancer) recordBusyTime(now monotonic.Time) {
 	for _, endpoint := range lb.endpoints {
 		if lb.isWarm(endpoint, now-evidenceInterval) && now-endpoint.utilizationAt < utilizationTTL {
@@ -137,7 +144,8 @@
 	}
 }
 
-// baselineMostlyWarm reports whether most ready endpoints of builds before the one under judgement have finished their slow start.
+// baselineMostlyWarm reports whether at least half of the ready endpoints of builds before the one under judgement have
+// finished their slow start.
 func (lb *Balancer) baselineMostlyWarm(now monotonic.Time) bool {
 	warming, warm := 0, 0
 	for _, endpoint := range lb.endpoints {
