--- a/decision/admission.go
+++ b/decision/admission.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	overQuotaPriority    = 0.01 // of its priority: what a request beyond its tenant's quota keeps
-	lateShare            = 0.7  // of the latency objective: an answer that took longer is late
-	saturatedUtilization = 0.9  // an endpoint that reports more is full
+	overQuotaPriority    = 0.01 // factor on the priority of a request that exceeds the quota of its tenant
+	lateShare            = 0.7  // an answer that takes longer than this share of the latency objective is late
+	saturatedUtilization = 0.9  // an endpoint that reports a higher utilization is full
 )
 
 // Tenant is one customer of the deployment.
 type Tenant = admission.Tenant
 
-// Arrival is a request that a client has sent.
+// Arrival describes a request that has arrived from a client.
 type Arrival struct {
 	OpType    *OpType
-	Tenant    *Tenant       // nil where the deployment has none
-	Key       uint64        // requests with the same key are related; 0 for none
-	Work      time.Duration // expected; 0 where it is not known
-	Remaining time.Duration // until the client gives up
+	Tenant    *Tenant       // nil if the deployment has no tenants
+	Key       uint64        // requests with the same key are related; 0 if the request has no key
+	Work      time.Duration // expected work; 0 if unknown
+	Remaining time.Duration // time until the client gives up
 }
 
-// Admit takes a request in: it gets its deadline, its latency objective and its priority. Route decides what becomes of it.
+// Admit creates the state of a request that has arrived, with its deadlines and its priority. Route then decides what
+// to do with it.
 func (lb *Balancer) Admit(arrival Arrival, now monotonic.Time) *Request {
 	op := arrival.OpType
 	request := &Request{opType: op, key: arrival.Key, deadline: now + arrival.Remaining}
@@ -42,10 +43,10 @@
 	return request
 }
 
-// QueueLength returns how many requests are queued.
+// QueueLength returns the number of queued requests.
 func (lb *Balancer) QueueLength() int { return lb.admission.queue.Len() }
 
-// enqueue keeps a request until Tick says that its turn has come.
+// enqueue queues a request until Tick returns it as due.
 func (lb *Balancer) enqueue(request *Request) Decision {
 	if !request.queued {
 		request.queued = true
@@ -61,7 +62,7 @@
 	}
 }
 
-// withinConcurrencyWindow reports whether one more attempt may be in flight, at whichever endpoint.
+// withinConcurrencyWindow reports whether this gateway may have one more attempt in flight, at any endpoint.
 func (lb *Balancer) withinConcurrencyWindow(request *Request, now monotonic.Time) bool {
 	return lb.admission.window.Allows(admission.Demand{
 		RequestsPerSecond: lb.requestRate(now),
@@ -70,8 +71,9 @@
 	}, now)
 }
 
-// adjustConcurrencyWindow takes in whether an answer of an endpoint was late or missing. One of an endpoint that reports
-// room is the path's or the endpoint's own, and does not count.
+// adjustConcurrencyWindow increases the concurrency window after a timely answer. It decreases the window after a late
+// or missing answer of an endpoint that is full or has not reported its utilization. If the endpoint is not full, the
+// delay is caused by the path or by that endpoint alone, and the window stays.
 func (lb *Balancer) adjustConcurrencyWindow(endpoint *Endpoint, late bool) {
 	if !late {
 		lb.admission.window.Increase()
@@ -80,12 +82,13 @@
 	}
 }
 
-// requestRate is this gateway's requests a second.
+// requestRate returns the rate of this gateway's requests, per second.
 func (lb *Balancer) requestRate(now monotonic.Time) float64 {
 	return lb.admission.arrivalRate.PerSecond(now)
 }
 
-// admissionState is what decides which requests go first and how many attempts are in flight.
+// admissionState holds the queue, quotas and limits that decide which requests go first and how many attempts are in
+// flight.
 type admissionState struct {
 	queue       admission.Queue[*Request]
 	quotas      admission.Quotas
--- a/decision/config.go
+++ b/decision/config.go
@@ -11,14 +11,14 @@
 	"laurelring/decision/seeded"
 )
 
-// Config is what a balancer is made from: the gateway's place in its fleet, and the figures of its deployment. None of it
-// changes later.
+// Config configures a balancer: the gateway's place in its fleet, and the parameters of its deployment. It does not
+// change during the life of a balancer.
 type Config struct {
-	Seed     uint64        // of all random draws
-	Rank     int           // this gateway's number, from 0 on
-	Gateways int           // in the fleet
-	Zone     int           // this gateway's own
-	Tick     time.Duration // the shortest time between two calls of Tick; at least a millisecond
+	Seed     uint64        // seed of all random numbers
+	Rank     int           // this gateway's number, starting at 0
+	Gateways int           // number of gateways in the fleet
+	Zone     int           // zone of this gateway
+	Tick     time.Duration // shortest time between two calls of Tick; at least a millisecond
 
 	OpTypes   []OpTypeConfig
 	Tenants   []TenantConfig
@@ -28,19 +28,19 @@
 	Exposure  ExposureConfig
 	Rollout   RolloutConfig
 
-	PollDiscovery bool // changes of the endpoint list have to be asked for
+	PollDiscovery bool // discovery does not push changes of the endpoint list and has to be polled for them
 }
 
 // OpTypeConfig describes one type of operation.
 type OpTypeConfig struct {
 	LatencyObjective time.Duration
-	ObjectiveStretch float64       // by how much of a request's expected work its objective is longer
-	ClientTimeout    time.Duration // the longest that a client waits
-	PriorityWeight   float64       // what a timely answer is worth
-	LateValueShare   float64       // of the weight: what an answer after the objective is still worth
+	ObjectiveStretch float64       // a request's expected work, times this, is added to its latency objective
+	ClientTimeout    time.Duration // longest time that a client waits
+	PriorityWeight   float64       // value of a timely answer
+	LateValueShare   float64       // value of an answer after the objective, as a share of PriorityWeight
 	Idempotency      Idempotency
-	DedupScope       DeduplicationScope // which endpoints drop repeats, where it is idempotent by key
-	DedupWindow      time.Duration      // and for how long
+	DedupScope       DeduplicationScope // endpoints that drop repeats, for IdempotentByKey
+	DedupWindow      time.Duration      // how long they drop repeats
 }
 
 // TenantConfig is one tenant's quota.
@@ -48,53 +48,53 @@
 	QuotaRate float64 // requests a second, over all gateways
 }
 
-// AttemptConfig bounds the attempts of a request.
+// AttemptConfig limits the attempts of a request.
 type AttemptConfig struct {
 	Max           int
-	MayCancel     bool          // an attempt may be cancelled while it is out
-	MaxRetryAfter time.Duration // the longest Retry-After that a client honours; 0 where none is sent
+	MayCancel     bool          // an attempt may be canceled while it is in flight
+	MaxRetryAfter time.Duration // longest Retry-After that clients honor; 0 if none is sent
 }
 
-// CostConfig is what the deployment puts on each kind of loss, in the unit of the priority weights.
+// CostConfig holds the costs of the kinds of loss in a deployment, in the unit of the priority weights.
 type CostConfig struct {
-	CrossZone float64 // of a request that leaves its zone
-	Lag       float64 // of serving all requests by an earlier build
-	Harm      float64 // of failing all effects by a bad build
+	CrossZone float64 // cost of a request that leaves its zone
+	Lag       float64 // cost of serving all requests with an earlier build
+	Harm      float64 // cost of failing all effects because of a bad build
 }
 
-// SlowStartConfig says how endpoints warm up, and what overloads one that does.
+// SlowStartConfig says how endpoints warm up, and which load is too much for a warming endpoint.
 type SlowStartConfig struct {
-	InitialCapacity  float64       // share of its capacity that an endpoint has at its start
-	WarmUp           time.Duration // until it has all of it
-	OverloadMultiple float64       // of its present capacity: it is overloaded once it gets more
-	OverloadSpan     time.Duration // within this span
+	InitialCapacity  float64       // share of its full capacity that an endpoint has when it starts
+	WarmUp           time.Duration // time from the start of an endpoint until it has its full capacity
+	OverloadMultiple float64       // an endpoint that gets more than this multiple of its current capacity is overloaded
+	OverloadSpan     time.Duration // time over which the load is counted for OverloadMultiple
 }
 
-// ExposureConfig bounds the attempts at a canary build.
+// ExposureConfig limits the attempts at a canary build.
 type ExposureConfig struct {
-	Window       time.Duration // over which attempts are counted
-	Allowance    float64       // attempts beyond the cap's share of the requests
-	PerOpType    bool          // the cap holds for each op type by itself
-	ClosedStages int           // stages in which only idempotent requests may go to the build
-	StickyKeys   bool          // a key that a build has answered must not go to an earlier one
-	StageCaps    []float64     // share of the requests, by stage
+	Window       time.Duration // time over which requests and attempts are counted
+	Allowance    float64       // number of attempts allowed beyond the cap's share of the requests
+	PerOpType    bool          // the cap applies to each op type separately
+	ClosedStages int           // number of stages, from the first, in which the build gets idempotent requests only
+	StickyKeys   bool          // a key that a build has answered must not go to an earlier build
+	StageCaps    []float64     // exposure cap as a share of the requests, by stage
 }
 
-// RolloutConfig says how votes move a build.
+// RolloutConfig says how votes promote and roll back a build.
 type RolloutConfig struct {
 	Mode          PromotionMode
-	PromoteVotes  int           // gateways that must vote for a promotion
-	RollbackVotes int           // and for a rollback
+	PromoteVotes  int           // number of gateways that must vote for a promotion
+	RollbackVotes int           // number of gateways that must vote for a rollback
 	StageShares   []float64     // share of the endpoints that run the build, by stage
-	VoteTTL       time.Duration // for which a vote counts
-	AnswerTimeout time.Duration // of a call to the rollout controller
-	PeerMessages  bool          // gateways may send one another messages
+	VoteTTL       time.Duration // how long a vote counts
+	AnswerTimeout time.Duration // timeout of a call to the rollout controller
+	PeerMessages  bool          // gateways may send each other messages
 }
 
 // ErrConfig is wrapped by each error that New returns.
 var ErrConfig = errors.New("invalid balancer configuration")
 
-// validate refuses figures that no deployment can mean. It does not check whether they are plausible.
+// validate rejects values that are invalid in any deployment. It does not check whether the other values are plausible.
 func (c *Config) validate() error {
 	switch {
 	case c.Rank < 0:
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// New returns the balancer of one gateway. An error wraps ErrConfig.
+// New returns the balancer of one gateway. Each error that it returns wraps ErrConfig.
 func New(config Config) (*Balancer, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -154,11 +154,11 @@
 // Tenants returns the tenants in the order of the configuration.
 func (lb *Balancer) Tenants() []*Tenant { return lb.admission.quotas.Tenants() }
 
-// attemptLimits is what this deployment permits of attempts.
+// attemptLimits holds the limits and costs of attempts in this deployment.
 type attemptLimits struct {
 	maxAttempts   int
 	mayCancel     bool
-	maxRetryAfter time.Duration // the longest Retry-After that a client honours; 0 where none is sent
+	maxRetryAfter time.Duration // longest Retry-After that clients honor; 0 if none is sent
 	crossZoneCost float64
 }
 
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -6,57 +6,57 @@
 	"laurelring/decision/monotonic"
 )
 
-// Endpoint is one endpoint for as long as the endpoint list names it or an attempt at it is in flight. The zero value is
-// an endpoint that no list has named yet.
+// Endpoint is the state of one endpoint. The balancer keeps it for as long as the endpoint list names the endpoint or
+// an attempt at it is in flight. The zero value is an endpoint that no list has named yet.
 type Endpoint struct {
 	endpointListing
 	endpointLoad
 	endpointHealth
 	endpointResults
 
-	hashKey    uint64 // random, for what differs from endpoint to endpoint at a gateway
+	hashKey    uint64 // random; makes hash-based choices differ between endpoints
 	unreported unreportedResults
 	evidence   endpointEvidence
 }
 
-// endpointListing is what the endpoint list says of an endpoint, and what is known of that.
+// endpointListing is the entry of an endpoint on the endpoint list, and when this gateway learned of it.
 type endpointListing struct {
-	listed         bool // it is among the balancer's endpoints
-	ready          bool // it takes new requests
-	present        bool // it runs or drains
+	listed         bool // the endpoint is one of Balancer.endpoints
+	ready          bool // the endpoint accepts new requests
+	present        bool // the endpoint is running or draining
 	build          int
 	zone           int
 	machineType    int
 	cell           int
 	size           float64
-	startedAt      monotonic.Time // 0 for long ago
-	firstStartedAt monotonic.Time // when it first started with its build
-	learnedAt      monotonic.Time // when its latest start became known
-	provedReadyAt  monotonic.Time // the start of the latest attempt that proved that it did not drain
+	startedAt      monotonic.Time // 0 if long ago
+	firstStartedAt monotonic.Time // first start of the endpoint with its current build
+	learnedAt      monotonic.Time // when this gateway learned of the latest start
+	provedReadyAt  monotonic.Time // start of the latest attempt that proved that the endpoint was not draining
 }
 
-// EndpointStatus is what the endpoint list says of one endpoint.
+// EndpointStatus is the entry of one endpoint on the endpoint list.
 type EndpointStatus struct {
-	Ready       bool // it takes new requests
-	Present     bool // it runs or drains; else it is gone
+	Ready       bool // the endpoint accepts new requests
+	Present     bool // the endpoint is running or draining; otherwise it is gone
 	Build       int
 	Zone        int
 	MachineType int
 	Cell        int
-	Size        float64        // for comparison with others; 1 where it is not above 0
-	StartedAt   monotonic.Time // 0 for long ago
+	Size        float64        // size relative to other endpoints; values that are not above 0 count as 1
+	StartedAt   monotonic.Time // 0 if long ago
 }
 
-// EndpointReady reports whether the list names an endpoint as one that takes new requests.
+// EndpointReady reports whether the endpoint list names an endpoint as accepting new requests.
 func (lb *Balancer) EndpointReady(endpoint *Endpoint) bool { return endpoint.listed && endpoint.ready }
 
-// LoadReported takes in an endpoint's own report of its utilization: 1 where it is fully busy.
+// LoadReported records the utilization that an endpoint reports to this gateway. 1 means fully busy.
 func (lb *Balancer) LoadReported(endpoint *Endpoint, utilization float64, now monotonic.Time) {
 	endpoint.utilization, endpoint.utilizationAt = utilization, now
 	endpoint.unreported.utilization = true
 }
 
-// UpdateEndpoint takes in one entry of the endpoint list. CommitEndpointList ends the update.
+// UpdateEndpoint applies one entry of the endpoint list. CommitEndpointList ends the update.
 func (lb *Balancer) UpdateEndpoint(endpoint *Endpoint, status EndpointStatus, now monotonic.Time) {
 	if !endpoint.listed {
 		endpoint.listed, endpoint.hashKey = true, uint64(lb.random.Below(1<<30))
@@ -84,7 +84,7 @@
 	}
 }
 
-// reset forgets what was learned of an endpoint that has restarted, or runs another build.
+// reset clears the state learned about an endpoint that has restarted or runs another build.
 func (endpoint *Endpoint) reset(relativeLatency float64, now monotonic.Time) {
 	endpoint.limit.size = initialConcurrencyLimit
 	endpoint.relativeLatency = relativeLatency
@@ -99,7 +99,7 @@
 	endpoint.provedReadyAt = 0
 }
 
-// RetainEndpoints takes in which endpoints a complete list named: the others are gone.
+// RetainEndpoints marks all endpoints as gone that a complete endpoint list did not name.
 func (lb *Balancer) RetainEndpoints(named map[*Endpoint]bool) {
 	for _, endpoint := range lb.endpoints {
 		if !named[endpoint] {
@@ -108,7 +108,8 @@
 	}
 }
 
-// CommitEndpointList ends an update of the endpoint list. A cached list is one that discovery did not send just now.
+// CommitEndpointList ends an update of the endpoint list. cached says that the list does not come from a current
+// response of discovery.
 func (lb *Balancer) CommitEndpointList(cached bool, now monotonic.Time) {
 	lb.endpoints = slices.DeleteFunc(lb.endpoints, func(endpoint *Endpoint) bool {
 		if endpoint.listed = endpoint.ready || endpoint.present || len(endpoint.inFlight) > 0; !endpoint.listed {
@@ -123,8 +124,8 @@
 	lb.beginCanary(newestBuild, now)
 }
 
-// updateFleetSize takes the ready endpoints into the fleet's largest size and returns the newest build among them. Endpoints
-// of a build under judgement do not count: they replace others.
+// updateFleetSize updates the largest fleet size seen with the ready endpoints, and returns the newest build among
+// them. Endpoints of a build under judgement do not count, as they replace others.
 func (lb *Balancer) updateFleetSize() (newestBuild int) {
 	relativeCapacity, endpoints := 0.0, 0
 	for _, endpoint := range lb.endpoints {
--- a/decision/idempotency.go
+++ b/decision/idempotency.go
@@ -9,34 +9,34 @@
 
 const (
 	Idempotent      Idempotency = iota // a repeat does no harm
-	IdempotentByKey                    // endpoints drop repeats, within a scope and for a window of time
+	IdempotentByKey                    // endpoints drop repeats within a deduplication scope and window
 	NonIdempotent                      // at most one attempt may execute
 )
 
-// String returns the name for a log or an error.
+// String returns the name for logs and error messages.
 func (i Idempotency) String() string {
 	return [...]string{"idempotent", "idempotent by key", "non-idempotent"}[i]
 }
 
-// DeduplicationScope is the group of endpoints that drop repeats of a request that is idempotent by key: those that share
-// a scope with the endpoint that got it first.
+// DeduplicationScope says which endpoints drop repeats of a request that is idempotent by key, in relation to the
+// endpoint that got the request first.
 type DeduplicationScope uint8
 
 const (
 	ScopeAll  DeduplicationScope = iota // all endpoints
-	ScopeZone                           // those of the same zone
-	ScopeCell                           // those of the same cell
+	ScopeZone                           // endpoints in the same zone
+	ScopeCell                           // endpoints in the same cell
 )
 
-// String returns the name for a log or an error.
+// String returns the name for logs and error messages.
 func (scope DeduplicationScope) String() string { return [...]string{"all", "zone", "cell"}[scope] }
 
-// safeToRepeat reports whether a repeat does no harm at any endpoint, within the deduplication window where there is one.
+// safeToRepeat reports whether a repeat does no harm at any endpoint, within the deduplication window if there is one.
 func (op *OpType) safeToRepeat() bool {
 	return op.idempotency == Idempotent || op.idempotency == IdempotentByKey && op.dedupScope == ScopeAll
 }
 
-// repeatAllowed reports whether an attempt at an endpoint cannot repeat an effect, whichever of the attempts before it
+// repeatAllowed reports whether an attempt at an endpoint cannot repeat an effect, whichever of the earlier attempts
 // executed.
 func (lb *Balancer) repeatAllowed(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	op := request.opType
@@ -57,7 +57,7 @@
 	return true
 }
 
-// mayRetryAfterCancel reports whether another attempt may follow one that is canceled now, at any endpoint.
+// mayRetryAfterCancel reports whether, if an attempt is canceled now, another attempt may follow it at any endpoint.
 func (lb *Balancer) mayRetryAfterCancel(attempt *Attempt, now monotonic.Time) bool {
 	op := attempt.request.opType
 	return op.safeToRepeat() && (op.idempotency == Idempotent || now+lb.tick < attempt.sentAt+op.dedupWindow)
--- a/decision/request.go
+++ b/decision/request.go
@@ -7,15 +7,18 @@
 )
 
 const (
-	initialMeanLatencyShare = 0.25 // of the latency objective: the mean latency before any answer
-	lateValueThreshold      = 0.5  // of the priority weight: a late answer worth less gives way to queued requests
-	meanLatencyGain         = 0.05 // of each new duration in the mean latency
-	firstAttemptLatency     = 1.3  // times the mean latency: what a first attempt is expected to take, but no more than
-	firstAttemptShare       = 0.85 // this share of the latency objective
+	initialMeanLatencyShare = 0.25 // mean latency before the first answer, as a share of the latency objective
+	lateValueThreshold      = 0.5  // late answers of op types below this lateValueShare are given up while requests are queued
+	meanLatencyGain         = 0.05 // weight of each new duration in the smoothed mean latency
+	// A first attempt is expected to take firstAttemptLatency times the mean latency, but no more than
+	// firstAttemptShare of the latency objective.
+	firstAttemptLatency = 1.3
+	firstAttemptShare   = 0.85
 )
 
-// effectiveDeadline is the moment after which an answer is not worth its work: that of the latency objective where a late
-// answer has no value, or little while others are queued, and else the deadline.
+// effectiveDeadline returns the time after which an answer is not worth the work. This is the end of the latency
+// objective if a late answer has no value, or if it has little value and requests are queued. Otherwise it is the
+// deadline.
 func (lb *Balancer) effectiveDeadline(request *Request) time.Duration {
 	if request.opType.lateValueShare <= 0 || request.opType.lateValueShare < lateValueThreshold && lb.QueueLength() > 0 {
 		return request.latencyDeadline
@@ -23,8 +26,8 @@
 	return request.deadline
 }
 
-// expectedLatency is how long the next attempt is expected to take, in nanoseconds. A first one is not refused because the
-// mean is inflated.
+// expectedLatency returns how long the next attempt is expected to take, in nanoseconds. For a first attempt it is
+// capped, so that an inflated mean latency does not get the request rejected.
 func (lb *Balancer) expectedLatency(request *Request) float64 {
 	if len(request.attempts) == 0 {
 		return min(request.opType.meanLatency*firstAttemptLatency, float64(request.opType.latencyObjective)*firstAttemptShare)
@@ -32,8 +35,8 @@
 	return request.opType.meanLatency
 }
 
-// rejectOrFail gives a request its final answer. A rejection says that trying again does no harm, so it is given only where no
-// attempt can have executed, or where a repeat does no harm.
+// rejectOrFail completes a request without an endpoint's answer. A rejection tells the client that a retry is safe. It
+// is therefore given only if no attempt can have executed or if a repeat does no harm. Otherwise the request fails.
 func (lb *Balancer) rejectOrFail(request *Request, reason RejectReason) Decision {
 	lb.dequeue(request)
 	request.completed = true
@@ -49,19 +52,20 @@
 	return Decision{Action: ActionReject, Reason: reason, RetryAfter: min(lb.attemptLimits.maxRetryAfter, retryAfter)}
 }
 
-// ResponseStarted takes in that an answer has begun to stream to the client: no other one may follow.
+// ResponseStarted records that an answer has begun to stream to the client. No other answer may follow it.
 func (lb *Balancer) ResponseStarted(attempt *Attempt, now monotonic.Time) {
 	attempt.endpoint.lastResponseAt = now
 	attempt.request.completed = true
 }
 
-// ClientGone takes in that the client has left: the request needs no answer.
+// ClientGone records that the client has disconnected, so that the request needs no answer.
 func (lb *Balancer) ClientGone(request *Request) {
 	request.completed = true
 	lb.dequeue(request)
 }
 
-// ShortenDeadline brings a request's deadline forward, as where the gateway shuts down before the client gives up.
+// ShortenDeadline moves the deadline of a request forward, for example if the gateway shuts down before the client
+// gives up.
 func (lb *Balancer) ShortenDeadline(request *Request, lastAnswer monotonic.Time) {
 	request.deadline = min(request.deadline, lastAnswer)
 	request.latencyDeadline = min(request.latencyDeadline, lastAnswer)
@@ -71,27 +75,27 @@
 type Attempt struct {
 	request  *Request
 	endpoint *Endpoint
-	number   int // of its request, from 0 on
+	number   int // index among the attempts of its request
 	done     bool
 
 	sentAt          monotonic.Time
-	build           int // the endpoint's build, zone and cell when the attempt started
+	build           int // build, zone and cell of the endpoint when the attempt started
 	zone            int
 	cell            int
-	overdueCounted  bool // overdue, and recorded as a loss
-	endpointSilent  bool // overdue at an endpoint that counts as silent: no longer part of the balancer's attempts in flight
-	canceled        bool // the caller was asked to cancel it
-	mayHaveExecuted bool // in flight, or ended with an outcome that does not prove that the request never ran
-	duringWarmUp    bool // started while outcomes of its endpoint were no evidence yet
+	overdueCounted  bool // the attempt is overdue and has been recorded as a loss
+	endpointSilent  bool // the attempt is overdue at a silent endpoint and no longer counts in the concurrency window
+	canceled        bool // the caller was asked to cancel the attempt
+	mayHaveExecuted bool // the attempt is in flight, or its outcome does not prove that the request was not executed
+	duringWarmUp    bool // the attempt started while its endpoint was too young for its outcomes to be evidence
 }
 
-// Request returns the request of which this is an attempt.
+// Request returns the request that the attempt belongs to.
 func (attempt *Attempt) Request() *Request { return attempt.request }
 
 // Endpoint returns the endpoint at which the attempt is made.
 func (attempt *Attempt) Endpoint() *Endpoint { return attempt.endpoint }
 
-// Number is the attempt's place among those of its request, from 0 on.
+// Number returns the index of the attempt among the attempts of its request, starting at 0.
 func (attempt *Attempt) Number() int { return attempt.number }
 
 // Done reports whether FinishAttempt has been called for the attempt.
@@ -100,18 +104,18 @@
 // Request is one request, from its arrival to its final answer.
 type Request struct {
 	attempts  []*Attempt
-	inFlight  int  // attempts that have not ended
-	completed bool // it has its final answer, or its client has left
+	inFlight  int  // number of attempts that have not ended
+	completed bool // the request has its final answer, or its client has left
 
 	opType          *OpType
-	key             uint64         // requests with the same key are related; 0 for none
-	latencyDeadline monotonic.Time // an answer until then has its whole value
-	deadline        monotonic.Time // the client gives up then
+	key             uint64         // requests with the same key are related; 0 if the request has no key
+	latencyDeadline monotonic.Time // an answer until this time has its full value
+	deadline        monotonic.Time // time at which the client gives up
 	priority        float64
 	queued          bool
 }
 
-// Attempt returns the attempt with a number, or nil where the request has had no such attempt.
+// Attempt returns the attempt with a number, or nil if there is no such attempt.
 func (request *Request) Attempt(number int) *Attempt {
 	if number < 0 || number >= len(request.attempts) {
 		return nil
@@ -125,9 +129,9 @@
 // Completed reports whether the request has its final answer, or its client has left.
 func (request *Request) Completed() bool { return request.completed }
 
-// OpType is one type of operation, with what the answers have taught of it.
+// OpType is one type of operation, with the mean latency learned from its answers.
 type OpType struct {
-	index            int // in the order of the configuration
+	index            int // position in the configuration
 	latencyObjective time.Duration
 	objectiveStretch float64
 	clientTimeout    time.Duration
@@ -137,15 +141,15 @@
 	dedupScope       DeduplicationScope
 	dedupWindow      time.Duration
 
-	meanLatency float64 // ns; smoothed duration of answered attempts
+	meanLatency float64 // smoothed duration of answered attempts, in nanoseconds
 }
 
-// isLate reports whether an answer that took this long comes late.
+// isLate reports whether an answer after this duration counts as late.
 func (op *OpType) isLate(duration time.Duration) bool {
 	return float64(duration) > lateShare*float64(op.latencyObjective)
 }
 
-// observeLatency takes the duration of an attempt, in nanoseconds, into the mean.
+// observeLatency updates the mean latency with the duration of an attempt, in nanoseconds.
 func (op *OpType) observeLatency(duration float64) {
 	op.meanLatency += meanLatencyGain * (duration - op.meanLatency)
 }
