--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -11,7 +11,7 @@
 const (
 	queueBatch        = 64               // number of requests at the head of the queue that each Tick returns
 	queueCheckTicks   = 2                // ticks until the next call of Tick while requests are queued
-	expiryMarginTicks = 4                // Tick returns a queued request this many ticks before it is too late to start it
+	expiryMarginTicks = 4                // a queued request is due this many ticks before it is too late to start it
 	maxTickInterval   = 10 * time.Second // longest time between two calls of Tick
 )
 
--- a/decision/config.go
+++ b/decision/config.go
@@ -66,7 +66,7 @@
 type SlowStartConfig struct {
 	InitialCapacity  float64       // share of its full capacity that an endpoint has when it starts
 	WarmUp           time.Duration // time from the start of an endpoint until it has its full capacity
-	OverloadMultiple float64       // an endpoint that gets more than this multiple of its current capacity is overloaded
+	OverloadMultiple float64       // an endpoint with load above this multiple of its current capacity is overloaded
 	OverloadSpan     time.Duration // time over which the load is counted for OverloadMultiple
 }
 
--- a/decision/health.go
+++ b/decision/health.go
@@ -17,7 +17,7 @@
 	ejectionRequests      = 5
 	maxEjectionByRequests = 8 * time.Second
 
-	ejectionErrorRate = 0.3  // an endpoint is ejected if its error rate exceeds the median of its build by more than this
+	ejectionErrorRate = 0.3  // an endpoint whose error rate exceeds the median of its build by more is ejected
 	errorGain         = 0.15 // weight of each error in the smoothed error rate of an endpoint
 	errorRateDecay    = 0.85 // factor on the error rate after each success
 )
@@ -34,7 +34,7 @@
 // endpointLoad is the load that this gateway puts on an endpoint, and the load that the endpoint reports.
 type endpointLoad struct {
 	inFlight        []*Attempt           // in the order of their start
-	lastAttemptAt   monotonic.Time       // start of the latest attempt since the endpoint's start became known; 0 if none
+	lastAttemptAt   monotonic.Time       // latest attempt since this gateway learned of the endpoint's start; 0 if none
 	recentAttempts  slidingwindow.Window // covers both slowStartState.overloadSpan and canaryShareSpan
 	recentSuccesses slidingwindow.Window // covers slowStartState.overloadSpan
 	limit           concurrencyLimit
@@ -81,7 +81,8 @@
 	endpoint.recordOwnResults(1, 0, now)
 	endpoint.recentSuccesses.Add(now, lb.slowStart.overloadSpan)
 	endpoint.errorRate *= errorRateDecay
-	if endpoint.errorRate < ejectionErrorRate { // an endpoint that answers some requests but fails most stays on probation
+	// An endpoint that answers some requests but fails most of them stays on probation.
+	if endpoint.errorRate < ejectionErrorRate {
 		endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, 0
 	}
 	latency := float64(duration)
@@ -111,7 +112,7 @@
 		lb.adjustConcurrencyWindow(endpoint, true)
 	}
 	if outcome == OutcomeTimeout && endpoint.lastResponseAt > attempt.sentAt {
-		attempt.request.opType.observeLatency(float64(duration)) // the endpoint was responding, so this is its latency as well
+		attempt.request.opType.observeLatency(float64(duration)) // a latency sample, as the endpoint was responding
 	}
 	// The endpoint is full, is draining although the list does not say so, has crashed, or was silent. Every gateway
 	// sees the same crash, so it must not count against the build at each of them.
--- a/decision/paths.go
+++ b/decision/paths.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	zoneLateMargin = 0.2              // a zone is avoided if its late rate exceeds that of the own zone by at least this
+	zoneLateMargin = 0.2              // a zone whose late rate exceeds that of the own zone by this is avoided
 	zoneLateGain   = 0.15             // weight of each attempt in the smoothed late rate of its zone
 	zoneLateDecay  = 15 * time.Second // time constant of the decay of a zone's late rate
 
-	connectFailureThreshold = 0.3 // from this failure rate on, only endpoints that responded within responsiveTTL are used
+	connectFailureThreshold = 0.3 // from this rate on, only endpoints that responded within responsiveTTL are used
 	connectFailureGain      = 0.1 // weight of each failure in the smoothed failure rate
 	connectFailureDecay     = 0.9 // factor on the failure rate after each success
 	responsiveTTL           = 10 * time.Second
--- a/decision/request.go
+++ b/decision/request.go
@@ -8,7 +8,7 @@
 
 const (
 	initialMeanLatencyShare = 0.25 // mean latency before the first answer, as a share of the latency objective
-	lateValueThreshold      = 0.5  // late answers of op types below this lateValueShare are given up while requests are queued
+	lateValueThreshold      = 0.5  // below this lateValueShare, late answers are given up while requests are queued
 	meanLatencyGain         = 0.05 // weight of each new duration in the smoothed mean latency
 	// A first attempt is expected to take firstAttemptLatency times the mean latency, but no more than
 	// firstAttemptShare of the latency objective.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -11,7 +11,7 @@
 	utilizationTTL       = 2 * time.Second // an endpoint's report of its utilization is ignored once it is older
 	usualThroughputGain  = 0.15            // weight of each new value in the smoothed usual throughput
 	slowStartShare       = 0.65            // share of overloadMultiple that is used; the rest is left for random bursts
-	maxSlowStartCapacity = 1.1             // limit, relative to what a warming endpoint can serve; more would only queue there
+	maxSlowStartCapacity = 1.1             // limit as a multiple of what a warming endpoint can serve; more would queue
 	maxShortageFactor    = 1.5             // limit of shortageFactor
 	minBudgetRate        = 1e-9            // requests a second; keeps the gap between attempts finite
 	minFleetCapacity     = 0.01            // avoids a division by zero while no endpoint is ready
@@ -21,14 +21,16 @@
 type slowStartState struct {
 	initialCapacity  float64       // share of its full capacity that an endpoint has when it starts
 	warmUp           time.Duration // time from the start of an endpoint until it has its full capacity
-	overloadMultiple float64       // an endpoint that gets more than this multiple of its current capacity is overloaded
+	overloadMultiple float64       // an endpoint with load above this multiple of its current capacity is overloaded
 	overloadSpan     time.Duration // time over which the requests at an endpoint are counted for overloadMultiple
 
 	arrivals slidingwindow.Window // this gateway's requests
 	// shortageFactor is the factor by which the load on each endpoint exceeds the usual load, as others are missing or
 	// warming up. It is at least 1, and raises the limits of warming and canary endpoints.
-	shortageFactor  float64
-	usualThroughput float64 // answers to this gateway from a warm endpoint within overloadSpan, per unit of relative capacity
+	shortageFactor float64
+	// usualThroughput is how many answers this gateway gets from a warm endpoint within overloadSpan, per unit of
+	// relative capacity.
+	usualThroughput float64
 }
 
 func newSlowStartState(config SlowStartConfig) slowStartState {
