--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -25,7 +25,7 @@
 
 	started        bool           // Tick has been called
 	catchUpUntil   monotonic.Time // after a stall of the process, no attempt starts before this time
-	stallBeganAt   monotonic.Time // start of the latest stall that was followed by a catch-up
+	stallBeganAt   monotonic.Time // start of the latest stall that was longer than harmlessStall
 	stallNoticedAt monotonic.Time // when that stall was noticed
 
 	opTypes        []*OpType
@@ -177,9 +177,9 @@
 // little time left for an attempt.
 func (lb *Balancer) dueRequests(now monotonic.Time) []*Request {
 	var due []*Request
-	for place := range lb.admission.queue.Len() {
-		request := lb.admission.queue.At(place)
-		if place < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+expiryMarginTicks*lb.tick {
+	for position := range lb.admission.queue.Len() {
+		request := lb.admission.queue.At(position)
+		if position < queueBatch || request.deadline-now <= time.Duration(lb.expectedLatency(request))+expiryMarginTicks*lb.tick {
 			due = append(due, request)
 		}
 	}
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -88,7 +88,7 @@
 func (endpoint *Endpoint) reset(relativeLatency float64, now monotonic.Time) {
 	endpoint.limit.size = initialConcurrencyLimit
 	endpoint.relativeLatency = relativeLatency
-	endpoint.consecutiveFailures = 0
+	endpoint.consecutiveEjections = 0
 	endpoint.ejectedUntil = 0
 	endpoint.errorRate = 0
 	endpoint.outlierUntil = 0
--- a/decision/health.go
+++ b/decision/health.go
@@ -24,11 +24,11 @@
 
 // endpointHealth is the health of an endpoint, according to this gateway's attempts and to the voters.
 type endpointHealth struct {
-	lastResponseAt      monotonic.Time // when this gateway last received anything from the endpoint
-	consecutiveFailures int            // number of ejections since the endpoint last counted as healthy
-	ejectedUntil        monotonic.Time
-	errorRate           float64        // smoothed share of errors
-	outlierUntil        monotonic.Time // the voters consider the endpoint an outlier until this time
+	lastResponseAt       monotonic.Time // when this gateway last received anything from the endpoint
+	consecutiveEjections int            // number of ejections since the endpoint last counted as healthy
+	ejectedUntil         monotonic.Time
+	errorRate            float64        // smoothed share of errors
+	outlierUntil         monotonic.Time // the voters consider the endpoint an outlier until this time
 }
 
 // endpointLoad is the load that this gateway puts on an endpoint, and the load that the endpoint reports.
@@ -47,7 +47,7 @@
 // according to the voters. To let outliers be tried again, it returns false for a random outlierProbeShare of the calls
 // for an endpoint that is an outlier and nothing else. Each of these calls draws a random number.
 func (lb *Balancer) isSuspect(endpoint *Endpoint, now monotonic.Time) bool {
-	return now < endpoint.ejectedUntil || endpoint.consecutiveFailures > 0 && len(endpoint.inFlight) > 0 || lb.isOverdue(endpoint, now) ||
+	return now < endpoint.ejectedUntil || endpoint.consecutiveEjections > 0 && len(endpoint.inFlight) > 0 || lb.isOverdue(endpoint, now) ||
 		now < endpoint.outlierUntil && float64(lb.random.Below(1000)) >= 1000*outlierProbeShare
 }
 
@@ -83,7 +83,7 @@
 	endpoint.errorRate *= errorRateDecay
 	// An endpoint that answers some requests but fails most of them stays on probation.
 	if endpoint.errorRate < ejectionErrorRate {
-		endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, 0
+		endpoint.consecutiveEjections, endpoint.ejectedUntil = 0, 0
 	}
 	latency := float64(duration)
 	op.observeLatency(latency)
@@ -124,8 +124,8 @@
 // eject takes an endpoint out of normal selection for a time. It is then on probation, with one attempt at a time,
 // until it counts as healthy again after a success.
 func (lb *Balancer) eject(endpoint *Endpoint, now monotonic.Time) {
-	endpoint.consecutiveFailures++
+	endpoint.consecutiveEjections++
 	byRequests := time.Duration(ejectionRequests) * canaryShareSpan / time.Duration(max(1, lb.slowStart.arrivals.CountAfter(now-canaryShareSpan)))
-	backoff := min(maxEjection, initialEjection<<min(endpoint.consecutiveFailures-1, maxEjectionDoublings))
+	backoff := min(maxEjection, initialEjection<<min(endpoint.consecutiveEjections-1, maxEjectionDoublings))
 	endpoint.ejectedUntil = now + max(backoff, min(maxEjectionByRequests, byRequests))
 }
--- a/decision/machinetype.go
+++ b/decision/machinetype.go
@@ -2,7 +2,7 @@
 
 const (
 	endpointLatencyGain    = 0.08 // weight of each answer in the smoothed relative latency of its endpoint
-	machineTypeLatencyGain = 0.01 // weight of each answer in those of its machine type and of all machine types
+	machineTypeLatencyGain = 0.01 // the same for the machine type of the endpoint and for all machine types
 	minRelativeLatency     = 0.3
 	maxRelativeLatency     = 6
 	maxLatencySample       = 8 // limit of the relative latency of a single answer
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -26,9 +26,9 @@
 // recordResults counts attempts at an endpoint, made by this gateway or by a peer. If both numbers are 0, it only
 // decays the earlier results.
 func (endpoint *Endpoint) recordResults(successes, losses int, now monotonic.Time) {
-	left := decay.Factor(endpoint.decayedAt, now, observationDecay)
-	endpoint.decayedSuccesses = endpoint.decayedSuccesses*left + float64(successes)
-	endpoint.decayedLosses = endpoint.decayedLosses*left + float64(losses)
+	decayFactor := decay.Factor(endpoint.decayedAt, now, observationDecay)
+	endpoint.decayedSuccesses = endpoint.decayedSuccesses*decayFactor + float64(successes)
+	endpoint.decayedLosses = endpoint.decayedLosses*decayFactor + float64(losses)
 	endpoint.decayedAt = now
 }
 
@@ -106,9 +106,9 @@
 // medianExcluding returns the median of sorted values without one of them, which is given as own. If two values are in
 // the middle, it returns the larger one.
 func medianExcluding(sorted []float64, own float64) float64 {
-	at := (len(sorted) - 1) / 2
-	if own <= sorted[at] {
-		at++
+	middle := (len(sorted) - 1) / 2
+	if own <= sorted[middle] {
+		middle++
 	}
-	return sorted[at]
+	return sorted[middle]
 }
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// ejectedProbeInterval is the shortest time between two attempts at a suspect endpoint, which gets attempts only if
+	// suspectProbeInterval is the shortest time between two attempts at a suspect endpoint, which gets attempts only if
 	// no other endpoint is left.
-	ejectedProbeInterval = 100 * time.Millisecond
+	suspectProbeInterval = 100 * time.Millisecond
 
 	retryPenalty      = 4    // factor on an endpoint's load for each earlier attempt of the same request there
 	crossZonePenalty  = 10   // relative increase of the load in another zone, per unit of the cross-zone cost
@@ -25,7 +25,7 @@
 
 // candidates returns the endpoints that may get an attempt of a request. Suspect endpoints are for requests that no
 // healthy endpoint may serve, not for requests that could be queued until a healthy endpoint has room again, and each
-// of them gets at most one attempt per ejectedProbeInterval. An endpoint that fails fast is never full and would
+// of them gets at most one attempt per suspectProbeInterval. An endpoint that fails fast is never full and would
 // otherwise get all requests.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
 	var canary, stable, suspect []*Endpoint // local variables, so that the compiler keeps short slices off the heap
@@ -63,13 +63,13 @@
 // onProbationFor reports whether an endpoint must not get a request because it failed lately or is an outlier. This
 // applies to non-idempotent requests only, as they must not execute twice.
 func (lb *Balancer) onProbationFor(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
-	return (endpoint.consecutiveFailures > 0 || now < endpoint.outlierUntil) && request.opType.idempotency == NonIdempotent
+	return (endpoint.consecutiveEjections > 0 || now < endpoint.outlierUntil) && request.opType.idempotency == NonIdempotent
 }
 
-// mayProbe reports whether a suspect endpoint may get a request: it has had no attempt within ejectedProbeInterval, and
+// mayProbe reports whether a suspect endpoint may get a request: it has had no attempt within suspectProbeInterval, and
 // it is not overdue if the request is non-idempotent.
 func (lb *Balancer) mayProbe(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
-	return endpoint.recentAttempts.CountAfter(now-ejectedProbeInterval) == 0 &&
+	return endpoint.recentAttempts.CountAfter(now-suspectProbeInterval) == 0 &&
 		!(request.opType.idempotency == NonIdempotent && lb.isOverdue(endpoint, now))
 }
 
