--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// AwaitUnread has no attempt start after a stall until CaughtUp is called, as what arrived meanwhile may be unread, or until it
+// AwaitCatchUp has no attempt start after a stall until CaughtUp is called, as what arrived meanwhile may be unread, or until it
 // was waited for that long enough.
-func (lb *Balancer) AwaitUnread(now monotonic.Time) {
+func (lb *Balancer) AwaitCatchUp(now monotonic.Time) {
 	lb.catchUpUntil = max(lb.catchUpUntil, lb.stallNoticedAt+maxCatchUp, now+lb.tick)
 }
 
--- a/internal/routing/stall.go
+++ b/internal/routing/stall.go
@@ -87,7 +87,7 @@
 	}
 	r.balancer.ProcessStalled(late, now)
 	if r.drivers.HasUnhandledNotice != nil {
-		r.balancer.AwaitUnread(now)
+		r.balancer.AwaitCatchUp(now)
 	}
 	if r.list.exchange != nil && !r.balancer.EndpointListTrusted(now) {
 		r.list.exchange.DiscoveryLost(now)
