--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -132,7 +132,7 @@
 			continue
 		}
 		newestBuild = max(newestBuild, endpoint.build)
-		if !lb.rollout.judging() || endpoint.build < lb.rollout.build {
+		if !lb.rollout.evaluating() || endpoint.build < lb.rollout.build {
 			power += lb.power(endpoint)
 			endpoints++
 		}
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -49,7 +49,7 @@
 // recordEvidence counts an attempt's outcome for or against the build of its endpoint.
 func (lb *Balancer) recordEvidence(attempt *Attempt, outcome Outcome, took time.Duration, now monotonic.Time) {
 	state, endpoint := &lb.rollout, attempt.endpoint
-	if !state.judging() || attempt.sentAt < state.buildSeenAt || attempt.build != endpoint.build ||
+	if !state.evaluating() || attempt.sentAt < state.buildSeenAt || attempt.build != endpoint.build ||
 		outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent {
 		return
 	}
@@ -118,7 +118,7 @@
 // time and finished attempts stay: gateways see these at different times and would hardly leave out the same.
 func (lb *Balancer) sumEvidence(now monotonic.Time) {
 	lb.rankEndpoints()
-	if !lb.rollout.judging() {
+	if !lb.rollout.evaluating() {
 		return
 	}
 	evidence := &lb.rollout.evidence
@@ -146,7 +146,7 @@
 
 // retireEvidence keeps what was counted at an endpoint that leaves or changes its build, and clears the endpoint's counters.
 func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
-	if evidence := &lb.rollout.evidence; endpoint.evidence.byOpType != nil && lb.rollout.judging() {
+	if evidence := &lb.rollout.evidence; endpoint.evidence.byOpType != nil && lb.rollout.evaluating() {
 		lb.addEndpointEvidence(endpoint, evidence.departed, &evidence.departedBusy, false)
 	}
 	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([]rollout.Counters, len(lb.opTypes)), 0
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -100,7 +100,7 @@
 	current := &rollout.Report{CountedAt: countedAt, Build: report.Build, Counters: counters}
 	previous, accepted := peers.reports.Accept(report.Sender, current)
 	// Build 0 stands for no build under judgement: a report that names it is of none, and there are no totals to reconcile.
-	if accepted && lb.rollout.judging() && report.Build == lb.rollout.build {
+	if accepted && lb.rollout.evaluating() && report.Build == lb.rollout.build {
 		lb.reconcileTotals(previous, current)
 	}
 }
@@ -140,9 +140,9 @@
 	if peers.underReported || !isVoter {
 		peers.underReportedAt, cost.pendingFleet = now, nil // what the fleet did meanwhile is not known
 	}
-	if state.judging() && peers.underReported && now-state.buildSeenAt >= voterReportTTL {
+	if state.evaluating() && peers.underReported && now-state.buildSeenAt >= voterReportTTL {
 		cost.start = nil
-	} else if state.judging() && !peers.underReported && cost.start == nil {
+	} else if state.evaluating() && !peers.underReported && cost.start == nil {
 		lb.restartCostComparison(now)
 	}
 	// A few attempts come in bursts: the comparison needs a whole exposure window.
--- a/decision/machinetype.go
+++ b/decision/machinetype.go
@@ -33,7 +33,7 @@
 func (lb *Balancer) observeRelativeLatency(endpoint *Endpoint, ratio float64) {
 	ratio = min(ratio, maxLatencySample)
 	endpoint.relativeLatency = smoothRelativeLatency(endpoint.relativeLatency, ratio, endpointLatencyGain)
-	if endpoint.build < lb.rollout.build || !lb.rollout.judging() {
+	if endpoint.build < lb.rollout.build || !lb.rollout.evaluating() {
 		machine := lb.machineType(endpoint.machineType)
 		machine.relativeLatency = smoothRelativeLatency(machine.relativeLatency, ratio, machineTypeLatencyGain)
 		lb.machines.meanRelativeLatency = smoothRelativeLatency(lb.machines.meanRelativeLatency, ratio, machineTypeLatencyGain)
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -56,9 +56,9 @@
 		return
 	}
 	switch {
-	case !state.judging() && cost.perRequest == 0:
+	case !state.evaluating() && cost.perRequest == 0:
 		cost.perRequest = current
-	case !state.judging() || lb.canary.phase == PhaseCanary && lb.canaryEndpoints() == 0: // none listed yet
+	case !state.evaluating() || lb.canary.phase == PhaseCanary && lb.canaryEndpoints() == 0: // none listed yet
 		cost.perRequest += baselineCostGain * (current - cost.perRequest)
 	case cost.perRequest > 0 && mature:
 		requests := answers * float64(evidenceInterval) / float64(observationDecay) // of this interval
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -57,15 +57,15 @@
 	}
 }
 
-// judging reports whether a build is under judgement, and evidence on it is counted.
-func (r *rolloutState) judging() bool { return r.evidence.own != nil }
+// evaluating reports whether a build is under judgement, and evidence on it is counted.
+func (r *rolloutState) evaluating() bool { return r.evidence.own != nil }
 
 // startStage begins a stage or a phase of the newest build.
 func (r *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
 	r.stage.startedAt, r.stage.listed = startedAt, false
 	r.vote.nextAt = 0
 	r.evidence.stageStart = nil
-	if r.judging() && phase == PhaseCanary {
+	if r.evaluating() && phase == PhaseCanary {
 		// What the fleet's requests cost at a smaller stage says little about this one.
 		r.cost.fleet, r.cost.pendingFleet = rollout.FleetCost{}, nil
 	}
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -53,7 +53,7 @@
 // currentVerdict returns what this gateway votes: a voter by its own evidence, another by the voters' reports.
 func (lb *Balancer) currentVerdict(now monotonic.Time) Verdict {
 	state, canary := &lb.rollout, &lb.canary
-	if !state.judging() || canary.build != state.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
+	if !state.evaluating() || canary.build != state.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
 		return VerdictNone
 	}
 	blind := state.settings.peerMessages && minReportingOneIn*(state.peers.reporting+1) < lb.gateways
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -60,7 +60,7 @@
 	verdict := VerdictNone
 	// One vote of a few voters is enough where no more are required.
 	followersVote := max(state.settings.promoteVotes, state.settings.rollbackVotes) > len(voters)
-	if state.judging() && (isVoter || followersVote) {
+	if state.evaluating() && (isVoter || followersVote) {
 		verdict = lb.currentVerdict(now)
 		lb.castVote(verdict, now, due)
 	}
@@ -105,7 +105,7 @@
 		endpoint.outlierUntil = now + voterReportInterval + evidenceInterval
 	}
 	// A gateway that restarted amid a canary has no figure of its own.
-	if report.BaselineCost > 0 && (!state.judging() || state.cost.perRequest == 0) {
+	if report.BaselineCost > 0 && (!state.evaluating() || state.cost.perRequest == 0) {
 		state.cost.perRequest = report.BaselineCost
 	}
 	state.voters.store(report, newest)
