--- a/decision/vote.go
+++ b/decision/vote.go
@@ -13,8 +13,8 @@
 	promoteWait = 3 * time.Second
 	// blindPromoteWait is the same for a gateway that hears too few others.
 	blindPromoteWait = 6 * time.Second
-	// blindMinLagShare is the share of the harm cost that the lag cost must be for such a gateway to vote a promotion.
-	blindMinLagShare = 0.05
+	// isolatedMinLagShare is the share of the harm cost that the lag cost must be for such a gateway to vote a promotion.
+	isolatedMinLagShare = 0.05
 	// minReportingOneIn: one gateway in this many must be heard, or a voter is blind.
 	minReportingOneIn = 3
 	// stageListedTimeout is the age at which a stage is judged by the endpoints listed, though fewer than its share.
@@ -81,7 +81,7 @@
 func (lb *Balancer) promotionVerdict(blind bool, now monotonic.Time) Verdict {
 	state := &lb.rollout
 	wait := promoteWait
-	if blind && state.settings.lagCost < blindMinLagShare*state.settings.harmCost {
+	if blind && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if blind {
 		wait = blindPromoteWait
