--- a/decision/canary.go
+++ b/decision/canary.go
@@ -17,10 +17,10 @@
 	closedStages int       // in stages below this one only idempotent requests may go to the canary build
 	stageCaps    []float64 // share of the requests, by stage
 
-	build int // the newest build that the rollout controller has named, -1 before that
-	stage int
-	phase RolloutPhase
-	cap   float64 // share of the requests that may go to the build
+	build       int // the newest build that the rollout controller has named, -1 before that
+	stage       int
+	phase       RolloutPhase
+	exposureCap float64 // share of the requests that may go to the build
 
 	heldUntil monotonic.Time // no attempt at a canary build starts until then
 
@@ -48,7 +48,9 @@
 }
 
 // CanaryExposed reports whether requests may go to the newest build, which is not released.
-func (lb *Balancer) CanaryExposed() bool { return lb.canary.phase == PhaseCanary && lb.canary.cap > 0 }
+func (lb *Balancer) CanaryExposed() bool {
+	return lb.canary.phase == PhaseCanary && lb.canary.exposureCap > 0
+}
 
 // HoldCanary has no attempt at a canary build start for a moment, as something that may lower its cap is unread.
 func (lb *Balancer) HoldCanary(now monotonic.Time) { lb.canary.heldUntil = now + lb.tick }
@@ -63,7 +65,7 @@
 // stage's cap.
 func (canary *canaryState) stageOf(build int) (stage int, limit float64) {
 	if build == canary.build {
-		return canary.stage, canary.cap
+		return canary.stage, canary.exposureCap
 	}
 	if len(canary.stageCaps) > 0 {
 		return 0, canary.stageCaps[0]
@@ -130,7 +132,7 @@
 	if status.Build != canary.build || status.Stage != canary.stage || status.Phase != canary.phase {
 		rollout.startStage(now-status.Age, status.Phase)
 	}
-	canary.build, canary.stage, canary.phase, canary.cap = status.Build, status.Stage, status.Phase, status.ExposureCap
+	canary.build, canary.stage, canary.phase, canary.exposureCap = status.Build, status.Stage, status.Phase, status.ExposureCap
 	if status.Phase == PhaseRollingBack || status.Phase == PhaseRolledBack {
 		canary.stickyKeys.RolledBack(status.Build)
 	}
