--- a/decision/canary.go
+++ b/decision/canary.go
@@ -61,9 +61,9 @@
 	return build > canary.build || build == canary.build && canary.phase != PhaseReleased
 }
 
-// stageOf returns the stage and the exposure cap of a canary build. One that is not announced yet is held to the first
+// stageAndCap returns the stage and the exposure cap of a canary build. One that is not announced yet is held to the first
 // stage's cap.
-func (canary *canaryState) stageOf(build int) (stage int, limit float64) {
+func (canary *canaryState) stageAndCap(build int) (stage int, limit float64) {
 	if build == canary.build {
 		return canary.stage, canary.exposureCap
 	}
@@ -86,7 +86,7 @@
 	if now < canary.heldUntil {
 		return false
 	}
-	stage, limit := canary.stageOf(endpoint.build)
+	stage, limit := canary.stageAndCap(endpoint.build)
 	if limit <= 0 || stage < canary.closedStages && request.opType.idempotency != Idempotent {
 		return false
 	}
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// harmlessStall is how long the process may stand still without harm: deadlines, windows and graces allow for it.
-	harmlessStall = 150 * time.Millisecond
+	// maxHarmlessStall is how long the process may stand still without harm: deadlines, windows and graces allow for it.
+	maxHarmlessStall = 150 * time.Millisecond
 	// maxTrustedStall is how long it may and still take in what arrived meanwhile within the grace of a drain.
 	maxTrustedStall = 600 * time.Millisecond
-	// catchUpPause is how long no attempt starts after a stall at the least, so that what arrived meanwhile is read first.
-	catchUpPause = 30 * time.Millisecond
-	// maxCatchUp is how long it is waited for that at the most: a response may go on arriving for longer, and the lease on
+	// minCatchUpPause is how long no attempt starts after a stall at the least, so that what arrived meanwhile is read first.
+	minCatchUpPause = 30 * time.Millisecond
+	// maxCatchUpPause is how long it is waited for that at the most: a response may go on arriving for longer, and the lease on
 	// the endpoint list bounds what is done by the list before it.
-	maxCatchUp = time.Second
+	maxCatchUpPause = time.Second
 )
 
 // StartLease has the endpoint list trusted for no longer than a lease, of which the first begins now. Without it the list
@@ -76,8 +76,8 @@
 // lower exposure cap among it, so no attempt starts for a moment. After a long stall the list has to be confirmed too, as
 // the call for it may have been given up with its answer unread.
 func (lb *Balancer) ProcessStalled(span time.Duration, now monotonic.Time) {
-	if span > harmlessStall {
-		lb.stallBeganAt, lb.stallNoticedAt, lb.catchUpUntil = now-span, now, now+catchUpPause
+	if span > maxHarmlessStall {
+		lb.stallBeganAt, lb.stallNoticedAt, lb.catchUpUntil = now-span, now, now+minCatchUpPause
 	}
 	if span > maxTrustedStall {
 		lb.endpointList.lease.Suspect(now, 0)
@@ -87,7 +87,7 @@
 // AwaitCatchUp has no attempt start after a stall until CaughtUp is called, as what arrived meanwhile may be unread, or until it
 // was waited for that long enough.
 func (lb *Balancer) AwaitCatchUp(now monotonic.Time) {
-	lb.catchUpUntil = max(lb.catchUpUntil, lb.stallNoticedAt+maxCatchUp, now+lb.tick)
+	lb.catchUpUntil = max(lb.catchUpUntil, lb.stallNoticedAt+maxCatchUpPause, now+lb.tick)
 }
 
 // CatchingUp reports whether what arrived during a stall may still be unread: no attempt starts, and nothing that is read now
@@ -96,7 +96,7 @@
 
 // CatchUpPauseOver reports whether the least pause after the latest stall is over.
 func (lb *Balancer) CatchUpPauseOver(now monotonic.Time) bool {
-	return now >= lb.stallNoticedAt+catchUpPause
+	return now >= lb.stallNoticedAt+minCatchUpPause
 }
 
 // CaughtUp takes in that what arrived during the latest stall has been read: attempts may start again.
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -12,8 +12,8 @@
 	evidenceWarmUp = 3 * time.Second
 	// outlierMinEndpoints is how many others an endpoint is compared with before it can be an outlier to this gateway.
 	outlierMinEndpoints = 2
-	// minBaselineOneIn: one endpoint in this many of an earlier build is enough to compare costs with.
-	minBaselineOneIn = 5
+	// minBaselineDivisor: one endpoint in this many of an earlier build is enough to compare costs with.
+	minBaselineDivisor = 5
 	// finishedWithAnswer and finishedWithoutAnswer are what an attempt adds to Counters.FinishedHalves.
 	finishedWithAnswer    = 2
 	finishedWithoutAnswer = 1
@@ -28,21 +28,21 @@
 
 // evidenceState is what is counted for and against the build under judgement.
 type evidenceState struct {
-	own          rollout.Table // this gateway's running totals; nil while no build is under judgement
-	departed     rollout.Table // of them, those of endpoints that have left
-	restarted    rollout.Table // the last totals of peers' earlier incarnations
-	stageStart   rollout.Table // all gateways' totals when the stage or the release was first looked at; nil until then
-	busyTime     rollout.BusyTime
-	previousBusy rollout.BusyTime // the same at the previous report: peers' attempts are known that much later
-	departedBusy rollout.BusyTime // of it, that of endpoints that have left
+	ownTotals           rollout.Table // this gateway's running totals; nil while no build is under judgement
+	departedTotals      rollout.Table // of them, those of endpoints that have left
+	restartedPeerTotals rollout.Table // the last totals of peers' earlier incarnations
+	totalsAtStageStart  rollout.Table // all gateways' totals when the stage or the release was first looked at; nil until then
+	busyTime            rollout.BusyTime
+	previousBusyTime    rollout.BusyTime // the same at the previous report: peers' attempts are known that much later
+	departedBusyTime    rollout.BusyTime // of it, that of endpoints that have left
 }
 
 // newEvidenceState starts with nothing counted.
 func newEvidenceState(opTypes int) evidenceState {
 	return evidenceState{
-		own:       rollout.NewTable(opTypes),
-		departed:  rollout.NewTable(opTypes),
-		restarted: rollout.NewTable(opTypes),
+		ownTotals:           rollout.NewTable(opTypes),
+		departedTotals:      rollout.NewTable(opTypes),
+		restartedPeerTotals: rollout.NewTable(opTypes),
 	}
 }
 
@@ -122,13 +122,13 @@
 		return
 	}
 	evidence := &lb.rollout.evidence
-	copy(evidence.own, evidence.departed)
-	evidence.previousBusy, evidence.busyTime = evidence.busyTime, evidence.departedBusy
+	copy(evidence.ownTotals, evidence.departedTotals)
+	evidence.previousBusyTime, evidence.busyTime = evidence.busyTime, evidence.departedBusyTime
 	for _, endpoint := range lb.endpoints {
 		errorRateOfOthers, _, others := lb.medianOfOthers(endpoint)
 		outlier := now < endpoint.outlierUntil ||
 			others >= outlierMinEndpoints && endpoint.errorRate > ejectionErrorRate+errorRateOfOthers
-		lb.addEndpointEvidence(endpoint, evidence.own, &evidence.busyTime, outlier)
+		lb.addEndpointEvidence(endpoint, evidence.ownTotals, &evidence.busyTime, outlier)
 	}
 }
 
@@ -147,15 +147,15 @@
 // retireEvidence keeps what was counted at an endpoint that leaves or changes its build, and clears the endpoint's counters.
 func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
 	if evidence := &lb.rollout.evidence; endpoint.evidence.byOpType != nil && lb.rollout.evaluating() {
-		lb.addEndpointEvidence(endpoint, evidence.departed, &evidence.departedBusy, false)
+		lb.addEndpointEvidence(endpoint, evidence.departedTotals, &evidence.departedBusyTime, false)
 	}
 	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([]rollout.Counters, len(lb.opTypes)), 0
 }
 
 // pooledCounters sums the totals of all gateways on the build under judgement.
 func (lb *Balancer) pooledCounters() rollout.Table {
-	sum := lb.rollout.evidence.own.Clone()
-	sum.Add(lb.rollout.evidence.restarted)
+	sum := lb.rollout.evidence.ownTotals.Clone()
+	sum.Add(lb.rollout.evidence.restartedPeerTotals)
 	lb.rollout.peers.reports.AddTo(sum)
 	return sum
 }
@@ -164,18 +164,18 @@
 func (lb *Balancer) evidence() rollout.Evidence {
 	state := &lb.rollout
 	pooled := lb.pooledCounters()
-	if state.evidence.stageStart == nil {
-		state.evidence.stageStart = pooled.Clone()
+	if state.evidence.totalsAtStageStart == nil {
+		state.evidence.totalsAtStageStart = pooled.Clone()
 	}
 	current := rollout.Case{
 		Pooled:          pooled,
-		StageStart:      state.evidence.stageStart,
-		CostStart:       state.cost.start,
+		StageStart:      state.evidence.totalsAtStageStart,
+		CostStart:       state.cost.totalsAtStart,
 		FailureMargin:   rollout.FailureMargin(state.settings.lagCost, state.settings.harmCost),
-		BusyTime:        state.evidence.previousBusy,
-		CostComparable:  state.cost.comparable && !state.peers.underReported && lb.baselineRemains(),
+		BusyTime:        state.evidence.previousBusyTime,
+		CostComparable:  state.cost.comparable && !state.peers.tooFewReporting && lb.baselineRemains(),
 		CanaryEndpoints: lb.canaryEndpoints(),
-		FleetCost:       state.cost.fleet,
+		FleetCost:       state.cost.fleetCost,
 	}
 	return current.Evidence()
 }
@@ -202,5 +202,5 @@
 			}
 		}
 	}
-	return baseline*minBaselineOneIn >= all
+	return baseline*minBaselineDivisor >= all
 }
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -16,9 +16,9 @@
 	maxClockSkew = 100 * time.Millisecond
 	// maxObservations bounds the endpoints in one message; the others wait for the next.
 	maxObservations = 20
-	// Costs are compared only where at least minReporting in minReportingOf of the other gateways are heard.
-	minReporting   = 3
-	minReportingOf = 4
+	// Costs are compared only where at least minReportingNumerator in minReportingOf of the other gateways are heard.
+	minReportingNumerator   = 3
+	minReportingDenominator = 4
 )
 
 // unreportedResults is what this gateway has seen of an endpoint since its last evidence report.
@@ -29,11 +29,11 @@
 
 // peerEvidenceState is what other gateways report.
 type peerEvidenceState struct {
-	reports         rollout.PeerReports
-	reporting       int            // peers heard lately
-	underReported   bool           // they are too few to compare costs
-	underReportedAt monotonic.Time // when they last were, or when this gateway was last no voter
-	nextReportAt    monotonic.Time // when this gateway's own report is due
+	reports           rollout.PeerReports
+	reportingPeers    int            // peers heard lately
+	tooFewReporting   bool           // they are too few to compare costs
+	tooFewReportingAt monotonic.Time // when they last were, or when this gateway was last no voter
+	nextReportAt      monotonic.Time // when this gateway's own report is due
 }
 
 // scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
@@ -46,7 +46,7 @@
 	if !lb.rollout.settings.peerMessages {
 		return
 	}
-	totals := lb.rollout.evidence.own
+	totals := lb.rollout.evidence.ownTotals
 	if totals == nil {
 		totals = rollout.NewTable(len(lb.opTypes))
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	lb.recordObservations(report.Observations, now)
-	countedAt := lb.rollout.clocks.local(report.Sender, report.CountedAt, now)
+	countedAt := lb.rollout.clocks.toLocal(report.Sender, report.CountedAt, now)
 	current := &rollout.Report{CountedAt: countedAt, Build: report.Build, Counters: counters}
 	previous, accepted := peers.reports.Accept(report.Sender, current)
 	// Build 0 stands for no build under judgement: a report that names it is of none, and there are no totals to reconcile.
@@ -124,10 +124,10 @@
 	cost := &lb.rollout.cost
 	if previous != nil {
 		if current.Counters.RestartedSince(previous.Counters) {
-			lb.rollout.evidence.restarted.Add(previous.Counters)
+			lb.rollout.evidence.restartedPeerTotals.Add(previous.Counters)
 		}
-	} else if cost.startedLate && cost.start != nil {
-		cost.start.Add(current.Counters)
+	} else if cost.startedLate && cost.totalsAtStart != nil {
+		cost.totalsAtStart.Add(current.Counters)
 	}
 }
 
@@ -135,16 +135,16 @@
 // amid a canary, leave attempts without the busy time beside them: the comparison restarts once enough are heard.
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
-	peers.reporting = peers.reports.CountedSince(now - evidenceTTL)
-	peers.underReported = minReportingOf*peers.reporting < minReporting*(lb.gateways-1)
-	if peers.underReported || !isVoter {
-		peers.underReportedAt, cost.pendingFleet = now, nil // what the fleet did meanwhile is not known
+	peers.reportingPeers = peers.reports.CountedSince(now - evidenceTTL)
+	peers.tooFewReporting = minReportingDenominator*peers.reportingPeers < minReportingNumerator*(lb.gateways-1)
+	if peers.tooFewReporting || !isVoter {
+		peers.tooFewReportingAt, cost.pendingFleetCosts = now, nil // what the fleet did meanwhile is not known
 	}
-	if state.evaluating() && peers.underReported && now-state.buildSeenAt >= voterReportTTL {
-		cost.start = nil
-	} else if state.evaluating() && !peers.underReported && cost.start == nil {
+	if state.evaluating() && peers.tooFewReporting && now-state.buildSeenAt >= voterReportTTL {
+		cost.totalsAtStart = nil
+	} else if state.evaluating() && !peers.tooFewReporting && cost.totalsAtStart == nil {
 		lb.restartCostComparison(now)
 	}
 	// A few attempts come in bursts: the comparison needs a whole exposure window.
-	cost.comparable = cost.start != nil && now-cost.startedAt >= max(voterReportTTL, lb.canary.exposure.Window())
+	cost.comparable = cost.totalsAtStart != nil && now-cost.startedAt >= max(voterReportTTL, lb.canary.exposure.Window())
 }
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -21,26 +21,26 @@
 
 // costState compares what requests cost, as far as endpoints report how busy they are.
 type costState struct {
-	start        rollout.Table  // all gateways' totals when busy time began to be counted; nil while it is not
-	startedAt    monotonic.Time // when that was; 0 where it was as the build was first seen
-	startedLate  bool           // after the build was first seen: totals of peers heard later count from then on
-	comparable   bool           // long enough ago
-	perRequest   float64        // what a request cost the fleet before the build; 0 while it is not known
-	fleet        rollout.FleetCost
-	pendingFleet []rollout.FleetCost // the latest of the same, not yet counted
+	totalsAtStart     rollout.Table  // all gateways' totals when busy time began to be counted; nil while it is not
+	startedAt         monotonic.Time // when that was; 0 where it was as the build was first seen
+	startedLate       bool           // after the build was first seen: totals of peers heard later count from then on
+	comparable        bool           // long enough ago
+	baselineCost      float64        // what a request cost the fleet before the build; 0 while it is not known
+	fleetCost         rollout.FleetCost
+	pendingFleetCosts []rollout.FleetCost // the latest of the same, not yet counted
 }
 
 // restart begins a new build: without start, busy time is not counted until most gateways are heard.
 func (c *costState) restart(start rollout.Table) {
-	c.start, c.startedAt, c.startedLate = start, 0, start == nil
-	c.fleet = rollout.FleetCost{}
+	c.totalsAtStart, c.startedAt, c.startedLate = start, 0, start == nil
+	c.fleetCost = rollout.FleetCost{}
 }
 
 // restartCostComparison begins to count busy time and finished attempts beside it: busy time before now was not seen by all.
 func (lb *Balancer) restartCostComparison(now monotonic.Time) {
 	cost, evidence := &lb.rollout.cost, &lb.rollout.evidence
-	cost.start, cost.startedAt, cost.startedLate = lb.pooledCounters(), now, true
-	evidence.previousBusy, evidence.busyTime, evidence.departedBusy = rollout.BusyTime{}, rollout.BusyTime{}, rollout.BusyTime{}
+	cost.totalsAtStart, cost.startedAt, cost.startedLate = lb.pooledCounters(), now, true
+	evidence.previousBusyTime, evidence.busyTime, evidence.departedBusyTime = rollout.BusyTime{}, rollout.BusyTime{}, rollout.BusyTime{}
 	for _, endpoint := range lb.endpoints {
 		endpoint.evidence.busyTime = 0
 	}
@@ -52,26 +52,26 @@
 func (lb *Balancer) learnFleetCost(mature bool, now monotonic.Time) {
 	state, cost := &lb.rollout, &lb.rollout.cost
 	current, answers := lb.requestCost(now)
-	if answers == 0 || now-state.peers.underReportedAt < observationDecay { // answers are known later than busy time
+	if answers == 0 || now-state.peers.tooFewReportingAt < observationDecay { // answers are known later than busy time
 		return
 	}
 	switch {
-	case !state.evaluating() && cost.perRequest == 0:
-		cost.perRequest = current
+	case !state.evaluating() && cost.baselineCost == 0:
+		cost.baselineCost = current
 	case !state.evaluating() || lb.canary.phase == PhaseCanary && lb.canaryEndpoints() == 0: // none listed yet
-		cost.perRequest += baselineCostGain * (current - cost.perRequest)
-	case cost.perRequest > 0 && mature:
+		cost.baselineCost += baselineCostGain * (current - cost.baselineCost)
+	case cost.baselineCost > 0 && mature:
 		requests := answers * float64(evidenceInterval) / float64(observationDecay) // of this interval
-		cost.addFleetCost(rollout.FleetCost{Requests: requests, Cost: requests * min(current/cost.perRequest, maxCostRatio)})
+		cost.addFleetCost(rollout.FleetCost{Requests: requests, Cost: requests * min(current/cost.baselineCost, maxCostRatio)})
 	}
 }
 
 // addFleetCost takes in one interval, and counts the one of fleetCostDelay intervals before.
 func (c *costState) addFleetCost(interval rollout.FleetCost) {
-	c.pendingFleet = append(c.pendingFleet, interval)
-	if time.Duration(len(c.pendingFleet)) > fleetCostDelay {
-		c.fleet.Add(c.pendingFleet[0])
-		c.pendingFleet = c.pendingFleet[1:]
+	c.pendingFleetCosts = append(c.pendingFleetCosts, interval)
+	if time.Duration(len(c.pendingFleetCosts)) > fleetCostDelay {
+		c.fleetCost.Add(c.pendingFleetCosts[0])
+		c.pendingFleetCosts = c.pendingFleetCosts[1:]
 	}
 }
 
@@ -84,7 +84,7 @@
 			endpoint.recordResults(0, 0, now)
 			busy += endpoint.utilization * lb.normalizedPower(endpoint)
 			// Compensates for results that were not known before this gateway heard most others, or the endpoint was listed.
-			since := max(now-max(lb.rollout.peers.underReportedAt, endpoint.learnedAt), evidenceInterval)
+			since := max(now-max(lb.rollout.peers.tooFewReportingAt, endpoint.learnedAt), evidenceInterval)
 			answers += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay.Factor(0, since, observationDecay))
 		}
 	}
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -31,7 +31,7 @@
 	clocks   senderClocks
 	voters   voterState
 	stage    stageState
-	rollback rollbackCase
+	rollback rollbackCondition
 	vote     voteState
 }
 
@@ -58,16 +58,16 @@
 }
 
 // evaluating reports whether a build is under judgement, and evidence on it is counted.
-func (r *rolloutState) evaluating() bool { return r.evidence.own != nil }
+func (r *rolloutState) evaluating() bool { return r.evidence.ownTotals != nil }
 
 // startStage begins a stage or a phase of the newest build.
 func (r *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
-	r.stage.startedAt, r.stage.listed = startedAt, false
+	r.stage.startedAt, r.stage.allListed = startedAt, false
 	r.vote.nextAt = 0
-	r.evidence.stageStart = nil
+	r.evidence.totalsAtStageStart = nil
 	if r.evaluating() && phase == PhaseCanary {
 		// What the fleet's requests cost at a smaller stage says little about this one.
-		r.cost.fleet, r.cost.pendingFleet = rollout.FleetCost{}, nil
+		r.cost.fleetCost, r.cost.pendingFleetCosts = rollout.FleetCost{}, nil
 	}
 }
 
@@ -89,7 +89,7 @@
 		costStart = rollout.NewTable(len(lb.opTypes))
 	}
 	state.cost.restart(costStart)
-	state.rollback.stands = false
+	state.rollback.met = false
 	state.vote.last, state.vote.nextAt = Vote{}, 0
 }
 
@@ -99,7 +99,7 @@
 	if now >= peers.nextReportAt {
 		peers.nextReportAt = now + evidenceInterval
 		lb.learnFleetBaseline(now)
-		lb.shareEvidence(now, due)
+		lb.reportAndVote(now, due)
 	} else if now >= stage.promoteCheckAt {
 		stage.promoteCheckAt = noCheck
 		lb.castVote(lb.currentVerdict(now), now, due)
--- a/decision/senderclock.go
+++ b/decision/senderclock.go
@@ -20,9 +20,9 @@
 	return senderClocks{offsets: make([]time.Duration, gateways)}
 }
 
-// local returns the moment of a report that comes now, by this gateway's clock. It is not long after now: a report must not
+// toLocal returns the moment of a report that comes now, by this gateway's clock. It is not long after now: a report must not
 // outlast those that follow it. The sender must be one of the fleet's.
-func (c *senderClocks) local(sender int, at, now monotonic.Time) monotonic.Time {
+func (c *senderClocks) toLocal(sender int, at, now monotonic.Time) monotonic.Time {
 	local := at + c.offsets[sender]
 	if local < now-maxReportDelay || local > now+maxReportDelay {
 		c.offsets[sender] = now - at
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -11,12 +11,12 @@
 const (
 	// promoteWait is how long after the latest listed start of the stage's endpoints a promotion is voted.
 	promoteWait = 3 * time.Second
-	// blindPromoteWait is the same for a gateway that hears too few others.
-	blindPromoteWait = 6 * time.Second
+	// isolatedPromoteWait is the same for a gateway that hears too few others.
+	isolatedPromoteWait = 6 * time.Second
 	// isolatedMinLagShare is the share of the harm cost that the lag cost must be for such a gateway to vote a promotion.
 	isolatedMinLagShare = 0.05
-	// minReportingOneIn: one gateway in this many must be heard, or a voter is blind.
-	minReportingOneIn = 3
+	// isolationDivisor: one gateway in this many must be heard, or a voter is blind.
+	isolationDivisor = 3
 	// stageListedTimeout is the age at which a stage is judged by the endpoints listed, though fewer than its share.
 	stageListedTimeout = 12 * time.Second
 	// stageShareTolerance keeps rounding errors in a stage's share from asking for one endpoint more.
@@ -35,7 +35,7 @@
 // stageState is what is known of the present stage.
 type stageState struct {
 	startedAt      monotonic.Time // when this gateway was notified of it, less its age then
-	listed         bool           // all of its endpoints are or were listed
+	allListed      bool           // all of its endpoints are or were listed
 	promoteCheckAt monotonic.Time // when the wait before a promotion is over; noCheck where none is awaited
 }
 
@@ -56,7 +56,7 @@
 	if !state.evaluating() || canary.build != state.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
 		return VerdictNone
 	}
-	blind := state.settings.peerMessages && minReportingOneIn*(state.peers.reporting+1) < lb.gateways
+	blind := state.settings.peerMessages && isolationDivisor*(state.peers.reportingPeers+1) < lb.gateways
 	if !slices.Contains(lb.voters(state.build), lb.rank) {
 		if verdict, heard := lb.followedVerdict(now); heard {
 			return verdict
@@ -66,7 +66,7 @@
 		blind = true
 	}
 	state.rollback.update(lb.evidence(), lb.baselineRemains(), state.settings.mode, now)
-	if state.rollback.stands {
+	if state.rollback.met {
 		return VerdictRollBack
 	}
 	if canary.phase != PhaseCanary || state.settings.mode == PromoteByTimer {
@@ -84,7 +84,7 @@
 	if blind && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if blind {
-		wait = blindPromoteWait
+		wait = isolatedPromoteWait
 	}
 	latest, allListed := lb.latestStart()
 	if latest <= 0 {
@@ -107,9 +107,9 @@
 	canary, state := &lb.canary, &lb.rollout
 	latest, listed := lb.buildStarts(canary.build)
 	shares := state.settings.stageShares
-	state.stage.listed = state.stage.listed || canary.stage >= len(shares) ||
+	state.stage.allListed = state.stage.allListed || canary.stage >= len(shares) ||
 		float64(listed) >= math.Ceil(shares[canary.stage]*float64(lb.endpointList.maxEndpoints)-stageShareTolerance)
-	return latest, state.stage.listed
+	return latest, state.stage.allListed
 }
 
 // buildStarts returns the latest start of a build's ready endpoints, and how many there are.
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -48,8 +48,8 @@
 	return verdict, heard
 }
 
-// shareEvidence sends this gateway's totals to the voters, judges, votes, and reports as a voter to the others.
-func (lb *Balancer) shareEvidence(now monotonic.Time, due *DueWork) {
+// reportAndVote sends this gateway's totals to the voters, judges, votes, and reports as a voter to the others.
+func (lb *Balancer) reportAndVote(now monotonic.Time, due *DueWork) {
 	state := &lb.rollout
 	build := max(state.build, lb.canary.build)
 	voters := lb.voters(build)
@@ -86,7 +86,7 @@
 		Stage:        lb.canary.stage,
 		Verdict:      verdict,
 		Outliers:     outliers,
-		BaselineCost: lb.rollout.cost.perRequest,
+		BaselineCost: lb.rollout.cost.baselineCost,
 	}
 }
 
@@ -100,13 +100,13 @@
 		return
 	}
 	report.receivedAt = now
-	report.FoundAt = state.clocks.local(report.Sender, report.FoundAt, now)
+	report.FoundAt = state.clocks.toLocal(report.Sender, report.FoundAt, now)
 	for _, endpoint := range report.Outliers {
 		endpoint.outlierUntil = now + voterReportInterval + evidenceInterval
 	}
 	// A gateway that restarted amid a canary has no figure of its own.
-	if report.BaselineCost > 0 && (!state.evaluating() || state.cost.perRequest == 0) {
-		state.cost.perRequest = report.BaselineCost
+	if report.BaselineCost > 0 && (!state.evaluating() || state.cost.baselineCost == 0) {
+		state.cost.baselineCost = report.BaselineCost
 	}
 	state.voters.store(report, newest)
 }
