--- a/decision/canary.go
+++ b/decision/canary.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	canaryShareSpan   = 4 * time.Second // over which the attempts at a canary endpoint are held to its share
-	canaryShareFactor = 1.1             // of a canary endpoint's share of the requests: the most that it gets
+	// canaryShareSpan is the time span over which the attempts at a canary endpoint are limited to its share of the requests.
+	canaryShareSpan = 4 * time.Second
+	// canaryShareFactor limits the attempts at a canary endpoint, as a multiple of its share of the requests.
+	canaryShareFactor = 1.1
 )
 
-// canaryState is where the newest build stands, and what bounds the requests that meet a canary build.
+// canaryState is the rollout status of the newest build and the state that limits requests to canary builds.
 type canaryState struct {
-	closedStages int       // in stages below this one only idempotent requests may go to the canary build
-	stageCaps    []float64 // share of the requests, by stage
+	closedStages int       // the first closedStages stages are closed to requests that are not idempotent
+	stageCaps    []float64 // exposure cap by stage, as a share of the requests
 
-	build       int // the newest build that the rollout controller has named, -1 before that
+	build       int // the newest build that the rollout controller has announced, -1 before the first announcement
 	stage       int
 	phase       RolloutPhase
 	exposureCap float64 // share of the requests that may go to the build
 
-	heldUntil monotonic.Time // no attempt at a canary build starts until then
+	heldUntil monotonic.Time // no attempt at a canary build starts before this time
 
 	exposure   exposure.Limiter
-	stickyKeys *exposure.StickyKeys // nil where the deployment has none
+	stickyKeys *exposure.StickyKeys // nil if the deployment has no sticky keys
 }
 
 func newCanaryState(config ExposureConfig, opTypes int, tick time.Duration) canaryState {
@@ -47,23 +49,25 @@
 	return canary
 }
 
-// CanaryExposed reports whether requests may go to the newest build, which is not released.
+// CanaryExposed reports whether the newest build is in its canary phase with an exposure cap above 0.
 func (lb *Balancer) CanaryExposed() bool {
 	return lb.canary.phase == PhaseCanary && lb.canary.exposureCap > 0
 }
 
-// HoldCanary has no attempt at a canary build start for a moment, as something that may lower its cap is unread.
+// HoldCanary starts no attempt at a canary build for one tick. The caller uses it while messages that may lower the
+// exposure cap have arrived and are not yet processed.
 func (lb *Balancer) HoldCanary(now monotonic.Time) { lb.canary.heldUntil = now + lb.tick }
 
-// isCanary reports whether a build is a canary build: one that is not known to be released, announced or not.
+// isCanary reports whether a build is a canary build: a build later than the newest announced one, or the newest
+// announced build while it is not released.
 func (lb *Balancer) isCanary(build int) bool {
 	canary := &lb.canary
 	return build > canary.build || build == canary.build && canary.phase != PhaseReleased
 }
 
-// stageAndCap returns the stage and the exposure cap of a canary build. One that is not announced yet is held to the first
-// stage's cap.
-func (canary *canaryState) stageAndCap(build int) (stage int, limit float64) {
+// stageAndCap returns the stage and the exposure cap of a canary build. The exposure cap of the first stage applies to
+// a build that is not announced yet.
+func (canary *canaryState) stageAndCap(build int) (stage int, exposureCap float64) {
 	if build == canary.build {
 		return canary.stage, canary.exposureCap
 	}
@@ -73,8 +77,8 @@
 	return 0, 0
 }
 
-// withinExposureCap reports whether an attempt keeps within the cap on a canary build, the stages that are closed to
-// requests with effects, and the sticky keys.
+// withinExposureCap reports whether an attempt is allowed by the exposure cap of a canary build, by the stages that are
+// closed to requests that are not idempotent, and by the sticky keys.
 func (lb *Balancer) withinExposureCap(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	canary := &lb.canary
 	if !canary.stickyKeys.Allows(request.key, endpoint.build) {
@@ -86,27 +90,30 @@
 	if now < canary.heldUntil {
 		return false
 	}
-	stage, limit := canary.stageAndCap(endpoint.build)
-	if limit <= 0 || stage < canary.closedStages && request.opType.idempotency != Idempotent {
+	stage, exposureCap := canary.stageAndCap(endpoint.build)
+	if exposureCap <= 0 || stage < canary.closedStages && request.opType.idempotency != Idempotent {
 		return false
 	}
-	return canary.exposure.Allows(endpoint.build, request.opType.index, limit, now)
+	return canary.exposure.Allows(endpoint.build, request.opType.index, exposureCap, now)
 }
 
-// withinCanaryShare reports whether a canary endpoint has had little more than its share of the requests, or less, by its
-// size, which binds even where the cap allows more: an endpoint that is slow because it is overloaded would speak against
-// its build. stableInFlight and stablePower are of the endpoints of other builds.
+// withinCanaryShare reports whether a canary endpoint may get one more attempt within canaryShareFactor times its share
+// of the requests, by its power; a shortage of endpoints raises the limit. The limit applies even if the exposure cap
+// allows more: an endpoint that is slow because it is overloaded would count as evidence against its build.
+// stableInFlight and stablePower are the attempts in flight at the ready endpoints of stable builds and the power of
+// these endpoints.
 func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stablePower float64, now monotonic.Time) bool {
-	push := canaryShareFactor * lb.slowStart.shortage
-	if !lb.withinBudget(push*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
+	limitFactor := canaryShareFactor * lb.slowStart.shortage
+	if !lb.withinBudget(limitFactor*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
 		return false
 	}
-	// No burst when it is first listed: it has no more attempts in flight than the others for their power.
-	return stablePower == 0 || float64(len(endpoint.inFlight)) < 1+push*stableInFlight/stablePower*lb.power(endpoint)
+	// An endpoint that was just listed gets no burst: for its power it may not have more attempts in flight than the
+	// stable endpoints.
+	return stablePower == 0 || float64(len(endpoint.inFlight)) < 1+limitFactor*stableInFlight/stablePower*lb.power(endpoint)
 }
 
-// bindKey keeps a key that a build has answered from going to an earlier one, during the canary phase and after the
-// release.
+// bindKey binds a sticky key to the build that answered it, so that the key goes to no earlier build. It applies to the
+// newest build in its canary phase or after its release, and to builds that are not announced yet.
 func (lb *Balancer) bindKey(key uint64, build int) {
 	canary := &lb.canary
 	if build > canary.build || build == canary.build && (canary.phase == PhaseCanary || canary.phase == PhaseReleased) {
@@ -114,16 +121,16 @@
 	}
 }
 
-// RolloutStatus is where the newest build stands, as the rollout controller says.
+// RolloutStatus is the status of the newest build as reported by the rollout controller.
 type RolloutStatus struct {
 	Build       int
-	Stage       int // from 0 on
+	Stage       int // counted from 0
 	Phase       RolloutPhase
 	ExposureCap float64       // share of the requests that may go to the build, 0 to 1
-	Age         time.Duration // since this status began
+	Age         time.Duration // time since this status began
 }
 
-// RolloutChanged takes in where the newest build stands. A status of an earlier build changes nothing.
+// RolloutChanged applies a rollout status. The status of an earlier build than the newest known one is ignored.
 func (lb *Balancer) RolloutChanged(status RolloutStatus, now monotonic.Time) {
 	canary, rollout := &lb.canary, &lb.rollout
 	if status.Build < canary.build {
@@ -140,8 +147,8 @@
 	rollout.statusReceived = true
 }
 
-// stableInFlight returns how many attempts are in flight at ready endpoints of other builds than a canary one, and
-// the power of those.
+// stableInFlight returns the number of attempts in flight at the ready endpoints of stable builds, and the total power
+// of these endpoints.
 func (lb *Balancer) stableInFlight() (inFlight, power float64) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && !lb.isCanary(endpoint.build) {
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -8,24 +8,29 @@
 )
 
 const (
-	// maxHarmlessStall is how long the process may stand still without harm: deadlines, windows and graces allow for it.
+	// maxHarmlessStall is the longest process stall that needs no reaction: deadlines, windows and grace periods allow
+	// for it.
 	maxHarmlessStall = 150 * time.Millisecond
-	// maxTrustedStall is how long it may and still take in what arrived meanwhile within the grace of a drain.
+	// maxTrustedStall is the longest process stall after which the endpoint list stays trusted: what arrived during the
+	// stall is still processed within the grace period of a drain.
 	maxTrustedStall = 600 * time.Millisecond
-	// minCatchUpPause is how long no attempt starts after a stall at the least, so that what arrived meanwhile is read first.
+	// minCatchUpPause is the shortest time after a stall during which no attempt starts, so that what arrived during
+	// the stall is read first.
 	minCatchUpPause = 30 * time.Millisecond
-	// maxCatchUpPause is how long it is waited for that at the most: a response may go on arriving for longer, and the lease on
-	// the endpoint list bounds what is done by the list before it.
+	// maxCatchUpPause is the longest such time. A response may go on arriving for longer, and the lease on the endpoint
+	// list limits how long the gateway acts on the list from before that response.
 	maxCatchUpPause = time.Second
 )
 
-// StartLease has the endpoint list trusted for no longer than a lease, of which the first begins now. Without it the list
-// is trusted for good, as where discovery pushes each change and reports when it cannot.
+// StartLease starts the first lease on the endpoint list. From then on the list is trusted only while a lease is valid.
+// Without a call of StartLease the list is trusted indefinitely, as is right if discovery pushes each change and
+// reports when it cannot.
 func (lb *Balancer) StartLease(now monotonic.Time) { lb.endpointList.lease.Start(now) }
 
-// EndpointListConfirmed renews the lease: by an answer of discovery, or by a peer that got one, the current list was up to
-// date at a moment, as far as drains and removals go. What is read while the process catches up after a stall may have been
-// sent before that.
+// EndpointListConfirmed renews the lease: according to an answer of discovery, or to a peer that got one, the current
+// list was up to date at the given time, as far as drains and removals go. An answer that is read while the gateway
+// catches up after a stall may have been sent before the stall, so it renews the lease only from the beginning of the
+// stall.
 func (lb *Balancer) EndpointListConfirmed(at monotonic.Time) {
 	if at >= lb.stallNoticedAt && lb.CatchingUp(at) {
 		lb.endpointList.lease.ConfirmUnread(at, lb.stallBeganAt)
@@ -39,42 +44,44 @@
 	return lb.endpointList.lease.Valid(now)
 }
 
-// AttemptServed takes in that an endpoint served an attempt on a connection that was opened at a moment: it did not drain
-// when the attempt started, if the connection is old enough to prove that (see discovery.Lease).
+// AttemptServed records that an endpoint served an attempt on a connection that was opened at the given time. If the
+// connection is old enough (see discovery.Lease), this proves that the endpoint was not draining when the attempt
+// started.
 func (lb *Balancer) AttemptServed(attempt *Attempt, openedAt monotonic.Time) {
 	if attempt.build == attempt.endpoint.build && lb.endpointList.lease.ProvesReady(openedAt) {
 		attempt.endpoint.provedReadyAt = max(attempt.endpoint.provedReadyAt, attempt.sentAt)
 	}
 }
 
-// DiscoveryResponseStarted takes in that a response of discovery has begun to arrive.
+// DiscoveryResponseStarted shortens the lease because a response of discovery has begun to arrive.
 func (lb *Balancer) DiscoveryResponseStarted(now monotonic.Time) {
 	lb.endpointList.lease.Suspect(now, discovery.PartialResponseLease)
 }
 
-// DiscoveryResponseBroken takes in that a response of discovery began and did not become complete.
+// DiscoveryResponseBroken shortens the lease because a response of discovery began and did not become complete.
 func (lb *Balancer) DiscoveryResponseBroken(now monotonic.Time) {
 	lb.endpointList.lease.Suspect(now, discovery.BrokenResponseLease)
 }
 
-// DiscoveryMoved takes in that discovery is called at another address from now on.
+// DiscoveryMoved shortens the lease because discovery is called at another address from now on.
 func (lb *Balancer) DiscoveryMoved(now monotonic.Time) {
 	lb.endpointList.lease.Suspect(now, discovery.MovedLease)
 }
 
-// DiscoveryFailed takes in that a poll failed or a watch broke. The next poll comes after a backoff.
+// DiscoveryFailed records that a poll of discovery failed or a watch broke. The next poll comes after a backoff.
 func (lb *Balancer) DiscoveryFailed(now monotonic.Time) {
 	lb.endpointList.polling.Failed(&lb.random, now)
 }
 
-// UnansweredShareEstimated takes in which share of the gateways, as far as is known, polls discovery without an answer.
+// UnansweredShareEstimated sets the estimated share of the gateways whose polls of discovery get no answer.
 func (lb *Balancer) UnansweredShareEstimated(share float64) {
 	lb.endpointList.polling.EstimateUnanswered(share)
 }
 
-// ProcessStalled takes in that this process stood still for a while. What arrived meanwhile waits to be read, drains and a
-// lower exposure cap among it, so no attempt starts for a moment. After a long stall the list has to be confirmed too, as
-// the call for it may have been given up with its answer unread.
+// ProcessStalled records that this process did not run for the given span. Messages that arrived during the stall are
+// still unread, and a drain or a lower exposure cap may be among them, so after a stall longer than maxHarmlessStall no
+// attempt starts for minCatchUpPause. After a stall longer than maxTrustedStall the endpoint list is not trusted until
+// it is confirmed again, as the call for the list may have timed out with its answer unread.
 func (lb *Balancer) ProcessStalled(span time.Duration, now monotonic.Time) {
 	if span > maxHarmlessStall {
 		lb.stallBeganAt, lb.stallNoticedAt, lb.catchUpUntil = now-span, now, now+minCatchUpPause
@@ -84,33 +91,35 @@
 	}
 }
 
-// AwaitCatchUp has no attempt start after a stall until CaughtUp is called, as what arrived meanwhile may be unread, or until it
-// was waited for that long enough.
+// AwaitCatchUp lets no attempt start until CaughtUp is called, as messages that arrived during the latest stall may be
+// unread. It waits no longer than maxCatchUpPause after the stall, or one tick from now if that is later.
 func (lb *Balancer) AwaitCatchUp(now monotonic.Time) {
 	lb.catchUpUntil = max(lb.catchUpUntil, lb.stallNoticedAt+maxCatchUpPause, now+lb.tick)
 }
 
-// CatchingUp reports whether what arrived during a stall may still be unread: no attempt starts, and nothing that is read now
-// is known to have been sent lately.
+// CatchingUp reports whether messages that arrived during a stall may still be unread. While it does, no attempt
+// starts, and a message that is read may have been sent before or during the stall.
 func (lb *Balancer) CatchingUp(now monotonic.Time) bool { return now < lb.catchUpUntil }
 
-// CatchUpPauseOver reports whether the least pause after the latest stall is over.
+// CatchUpPauseOver reports whether minCatchUpPause has passed since the latest stall.
 func (lb *Balancer) CatchUpPauseOver(now monotonic.Time) bool {
 	return now >= lb.stallNoticedAt+minCatchUpPause
 }
 
-// CaughtUp takes in that what arrived during the latest stall has been read: attempts may start again.
+// CaughtUp records that all messages that arrived during the latest stall have been read, so that attempts may start
+// again.
 func (lb *Balancer) CaughtUp(now monotonic.Time) { lb.catchUpUntil = min(lb.catchUpUntil, now) }
 
-// trusted reports whether the list may be relied on for an endpoint.
+// trusted reports whether the endpoint list is trusted for an endpoint: by its lease, or because the endpoint has
+// proved lately that it does not drain.
 func (lb *Balancer) trusted(endpoint *Endpoint, now monotonic.Time) bool {
 	return lb.endpointList.lease.Trusted(endpoint.provedReadyAt, now)
 }
 
-// endpointListState is what is known of the endpoint list as a whole.
+// endpointListState is the state of the endpoint list as a whole.
 type endpointListState struct {
 	lease        discovery.Lease
 	polling      discovery.Pacing
-	maxPower     float64 // the largest power that was ready at once, canary endpoints left out
-	maxEndpoints int     // the same in endpoints
+	maxPower     float64 // the largest total power of ready endpoints at any time, without canary endpoints
+	maxEndpoints int     // the largest number of ready endpoints at any time, without canary endpoints
 }
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -8,36 +8,39 @@
 )
 
 const (
-	// evidenceWarmUp is the age below which an endpoint's attempts are no evidence.
+	// evidenceWarmUp is the time from the start of an endpoint during which its attempts are not counted as evidence.
 	evidenceWarmUp = 3 * time.Second
-	// outlierMinEndpoints is how many others an endpoint is compared with before it can be an outlier to this gateway.
+	// outlierMinEndpoints is the number of other endpoints that an endpoint must be compared with before this gateway
+	// can find it to be an outlier.
 	outlierMinEndpoints = 2
-	// minBaselineDivisor: one endpoint in this many of an earlier build is enough to compare costs with.
+	// minBaselineDivisor: costs are compared only while at least 1/minBaselineDivisor of the ready endpoints run an
+	// earlier build.
 	minBaselineDivisor = 5
-	// finishedWithAnswer and finishedWithoutAnswer are what an attempt adds to Counters.FinishedHalves.
+	// finishedWithAnswer and finishedWithoutAnswer are what a finished attempt adds to Counters.FinishedHalves, which
+	// counts in half attempts.
 	finishedWithAnswer    = 2
 	finishedWithoutAnswer = 1
 )
 
-// endpointEvidence is what this gateway has counted at one endpoint since the endpoint began with its build.
+// endpointEvidence is what this gateway has counted at one endpoint since the endpoint started to run its build.
 type endpointEvidence struct {
 	byOpType          []rollout.Counters
-	busyTime          float64        // by the endpoint's own utilization, weighed by its power
-	connectionsLostAt monotonic.Time // when it last broke connections
+	busyTime          float64        // from the utilization that the endpoint reports, weighted by its power
+	connectionsLostAt monotonic.Time // the end of the last attempt that was counted as breaking its connections
 }
 
-// evidenceState is what is counted for and against the build under judgement.
+// evidenceState is the evidence for and against the build under evaluation.
 type evidenceState struct {
-	ownTotals           rollout.Table // this gateway's running totals; nil while no build is under judgement
-	departedTotals      rollout.Table // of them, those of endpoints that have left
-	restartedPeerTotals rollout.Table // the last totals of peers' earlier incarnations
-	totalsAtStageStart  rollout.Table // all gateways' totals when the stage or the release was first looked at; nil until then
+	ownTotals           rollout.Table // this gateway's running totals; nil while no build is under evaluation
+	departedTotals      rollout.Table // the part of ownTotals from endpoints that have left or changed their build
+	restartedPeerTotals rollout.Table // the last totals that peers reported before they restarted
+	totalsAtStageStart  rollout.Table // all gateways' totals when the stage or the release was first evaluated; nil before that
 	busyTime            rollout.BusyTime
-	previousBusyTime    rollout.BusyTime // the same at the previous report: peers' attempts are known that much later
-	departedBusyTime    rollout.BusyTime // of it, that of endpoints that have left
+	previousBusyTime    rollout.BusyTime // busyTime at the previous report, as peers' attempts become known one report later
+	departedBusyTime    rollout.BusyTime // the part of busyTime from endpoints that have left or changed their build
 }
 
-// newEvidenceState starts with nothing counted.
+// newEvidenceState returns an evidenceState with all counts at 0.
 func newEvidenceState(opTypes int) evidenceState {
 	return evidenceState{
 		ownTotals:           rollout.NewTable(opTypes),
@@ -54,12 +57,13 @@
 		return
 	}
 	counters := &endpoint.evidence.byOpType[attempt.request.opType.index]
-	// An attempt counts at its end, by its endpoint's age then, as busy time does: what is still queued there has cost nothing.
+	// An attempt is counted when it ends, and only if its endpoint is warm at that time, as busy time is: an attempt
+	// that is still queued at the endpoint has cost nothing.
 	if lb.isWarm(endpoint, now) {
 		counters.FinishedHalves += finishedHalves(outcome)
 	}
-	// Timeouts and cancelled attempts tell of latency, not of failure: their number depends on this gateway's patience, and on
-	// load.
+	// Timeouts and cancelled attempts are signs of latency, not of failure: their number depends on how long this
+	// gateway waits, and on load.
 	if attempt.duringWarmUp || outcome == OutcomeTimeout || outcome == OutcomeCanceled {
 		return
 	}
@@ -69,7 +73,7 @@
 	}
 }
 
-// finishedHalves returns how many half attempts an outcome at a warm endpoint stands for.
+// finishedHalves returns how many half attempts an outcome at a warm endpoint adds to the finished attempts.
 func finishedHalves(outcome Outcome) uint32 {
 	switch outcome {
 	case OutcomeSuccess, OutcomeError:
@@ -77,12 +81,13 @@
 	case OutcomeConnectionLost:
 		return 0
 	default:
-		return finishedWithoutAnswer // it may not have been executed
+		return finishedWithoutAnswer // the request may not have been executed
 	}
 }
 
-// countsAsCrash reports whether a lost connection is a failure of its own. The attempts that one crash breaks are one failure,
-// and, as every gateway sees the crash, one among all gateways: a random draw decides.
+// countsAsCrash reports whether a lost connection counts as one more failure. All attempts that one crash breaks count
+// as one failure. Every gateway sees the crash, so each counts it with a probability of 1 in the number of gateways,
+// and together they count it about once.
 func (lb *Balancer) countsAsCrash(attempt *Attempt, took time.Duration) bool {
 	evidence := &attempt.endpoint.evidence
 	if attempt.sentAt <= evidence.connectionsLostAt {
@@ -92,19 +97,19 @@
 	return lb.random.Below(lb.gateways) == 0
 }
 
-// WrongAnswerReported counts an endpoint's answer that its client found wrong as a failure of the endpoint's build.
+// WrongAnswerReported counts an answer that its client found to be wrong as a failure of the endpoint's build.
 func (lb *Balancer) WrongAnswerReported(endpoint *Endpoint, op *OpType, sentAt monotonic.Time) {
 	if sentAt >= lb.rollout.buildSeenAt {
 		endpoint.evidence.byOpType[op.index].Failures++
 	}
 }
 
-// isWarm reports whether an endpoint is old enough for its busy time and finished attempts to be compared.
+// isWarm reports whether an endpoint has run long enough for its busy time and finished attempts to be compared.
 func (lb *Balancer) isWarm(endpoint *Endpoint, now monotonic.Time) bool {
 	return endpoint.ready && now-endpoint.startedAt > max(evidenceWarmUp, lb.slowStart.warmUp)
 }
 
-// sideOf returns the side that an endpoint's evidence belongs to.
+// sideOf returns the side of the comparison, canary or baseline, to which an endpoint's evidence belongs.
 func (lb *Balancer) sideOf(endpoint *Endpoint) rollout.Side {
 	if endpoint.build >= lb.rollout.build {
 		return rollout.Canary
@@ -112,10 +117,11 @@
 	return rollout.Baseline
 }
 
-// sumEvidence sums the evidence of all endpoints. The attempts and failures of an outlier, named by the voters or found by
-// this gateway, speak of the endpoint and not of its build: they are left out, which guards against a crash, hang or fast
-// errors of single canary endpoints and may delay the case against a build that ruins some endpoints before others. Busy
-// time and finished attempts stay: gateways see these at different times and would hardly leave out the same.
+// sumEvidence sums the evidence of all endpoints. The attempts and failures of an outlier, reported by the voters or
+// detected by this gateway, are left out, as they are caused by the endpoint and not by its build. This guards against
+// crashes, hangs and fast errors of single canary endpoints. It may delay the rollback of a build that breaks some
+// endpoints before others. Busy time and finished attempts of outliers are kept: gateways learn them at different times
+// and would hardly leave out the same ones.
 func (lb *Balancer) sumEvidence(now monotonic.Time) {
 	lb.rankEndpoints()
 	if !lb.rollout.evaluating() {
@@ -132,7 +138,8 @@
 	}
 }
 
-// addEndpointEvidence adds what was counted at an endpoint; of an outlier only what tells of cost.
+// addEndpointEvidence adds an endpoint's counters and busy time to the totals. Of an outlier it adds only busy time and
+// finished attempts, which measure cost.
 func (lb *Balancer) addEndpointEvidence(endpoint *Endpoint, table rollout.Table, busyTime *rollout.BusyTime, outlier bool) {
 	side := lb.sideOf(endpoint)
 	busyTime.Add(side, endpoint.evidence.busyTime)
@@ -144,7 +151,8 @@
 	}
 }
 
-// retireEvidence keeps what was counted at an endpoint that leaves or changes its build, and clears the endpoint's counters.
+// retireEvidence moves the counters of an endpoint that leaves or changes its build into the totals of departed
+// endpoints, and clears them at the endpoint.
 func (lb *Balancer) retireEvidence(endpoint *Endpoint) {
 	if evidence := &lb.rollout.evidence; endpoint.evidence.byOpType != nil && lb.rollout.evaluating() {
 		lb.addEndpointEvidence(endpoint, evidence.departedTotals, &evidence.departedBusyTime, false)
@@ -152,7 +160,7 @@
 	endpoint.evidence.byOpType, endpoint.evidence.busyTime = make([]rollout.Counters, len(lb.opTypes)), 0
 }
 
-// pooledCounters sums the totals of all gateways on the build under judgement.
+// pooledCounters returns the sum of all gateways' totals for the build under evaluation.
 func (lb *Balancer) pooledCounters() rollout.Table {
 	sum := lb.rollout.evidence.ownTotals.Clone()
 	sum.Add(lb.rollout.evidence.restartedPeerTotals)
@@ -160,7 +168,7 @@
 	return sum
 }
 
-// evidence weighs all that speaks against the build under judgement.
+// evidence returns the strength of the evidence against the build under evaluation.
 func (lb *Balancer) evidence() rollout.Evidence {
 	state := &lb.rollout
 	pooled := lb.pooledCounters()
@@ -180,7 +188,7 @@
 	return current.Evidence()
 }
 
-// canaryEndpoints counts the ready endpoints of the build under judgement.
+// canaryEndpoints returns the number of ready endpoints that run the build under evaluation.
 func (lb *Balancer) canaryEndpoints() int {
 	n := 0
 	for _, endpoint := range lb.endpoints {
@@ -191,7 +199,7 @@
 	return n
 }
 
-// baselineRemains reports whether enough of the ready endpoints run an earlier build.
+// baselineRemains reports whether at least 1/minBaselineDivisor of the ready endpoints run an earlier build.
 func (lb *Balancer) baselineRemains() bool {
 	baseline, all := 0, 0
 	for _, endpoint := range lb.endpoints {
