--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -26,7 +26,7 @@
 type endpointEvidence struct {
 	byOpType          []rollout.Counters
 	busyTime          float64        // from the utilization that the endpoint reports, weighted by its power
-	connectionsLostAt monotonic.Time // the end of the last attempt that was counted as breaking its connections
+	connectionsLostAt monotonic.Time // when its connections last broke
 }
 
 // evidenceState is the evidence for and against the build under evaluation.
@@ -34,9 +34,9 @@
 	ownTotals           rollout.Table // this gateway's running totals; nil while no build is under evaluation
 	departedTotals      rollout.Table // the part of ownTotals from endpoints that have left or changed their build
 	restartedPeerTotals rollout.Table // the last totals that peers reported before they restarted
-	totalsAtStageStart  rollout.Table // all gateways' totals when the stage or the release was first evaluated; nil before that
+	totalsAtStageStart  rollout.Table // all gateways' totals when the stage or release is first evaluated; nil before
 	busyTime            rollout.BusyTime
-	previousBusyTime    rollout.BusyTime // busyTime at the previous report, as peers' attempts become known one report later
+	previousBusyTime    rollout.BusyTime // busyTime one report earlier, as peers' attempts become known one report late
 	departedBusyTime    rollout.BusyTime // the part of busyTime from endpoints that have left or changed their build
 }
 
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -10,13 +10,15 @@
 const (
 	// evidenceInterval is how often each gateway reports its running totals to the voters.
 	evidenceInterval = 500 * time.Millisecond
-	// evidenceTTL is how long after its last report a peer counts as heard.
+	// evidenceTTL is the time after its last report for which a peer counts as reporting.
 	evidenceTTL = 1500 * time.Millisecond
-	// maxClockSkew is how far the clocks of two gateways may lie apart, but for steps before they started.
+	// maxClockSkew is the largest difference between the clocks of two gateways, apart from clock steps before the
+	// gateways started.
 	maxClockSkew = 100 * time.Millisecond
-	// maxObservations bounds the endpoints in one message; the others wait for the next.
+	// maxObservations is the largest number of endpoints in one report. Further endpoints wait for the next report.
 	maxObservations = 20
-	// Costs are compared only where at least minReportingNumerator in minReportingOf of the other gateways are heard.
+	// Costs are compared only while at least minReportingNumerator/minReportingDenominator of the other gateways are
+	// reporting.
 	minReportingNumerator   = 3
 	minReportingDenominator = 4
 )
@@ -27,21 +29,22 @@
 	utilization       bool // the endpoint has reported its utilization
 }
 
-// peerEvidenceState is what other gateways report.
+// peerEvidenceState is the evidence that other gateways report.
 type peerEvidenceState struct {
 	reports           rollout.PeerReports
-	reportingPeers    int            // peers heard lately
-	tooFewReporting   bool           // they are too few to compare costs
-	tooFewReportingAt monotonic.Time // when they last were, or when this gateway was last no voter
+	reportingPeers    int            // number of peers that have reported within evidenceTTL
+	tooFewReporting   bool           // reportingPeers is too small to compare costs
+	tooFewReportingAt monotonic.Time // when that was last so, or this gateway was last no voter
 	nextReportAt      monotonic.Time // when this gateway's own report is due
 }
 
-// scheduleFirstReport draws the moment of the first evidence report, so that the gateways of a fleet report in turn.
+// scheduleFirstReport sets a random time for the first evidence report, so that the gateways of a fleet do not all
+// report at once.
 func (lb *Balancer) scheduleFirstReport(now monotonic.Time) {
 	lb.rollout.peers.nextReportAt = now + lb.random.Jitter(evidenceInterval)
 }
 
-// reportEvidence lays out this gateway's totals and observations for the voters.
+// reportEvidence adds a report of this gateway's totals and observations for the voters to the due work.
 func (lb *Balancer) reportEvidence(build int, voters []int, now monotonic.Time, due *DueWork) {
 	if !lb.rollout.settings.peerMessages {
 		return
@@ -64,14 +67,15 @@
 	}
 }
 
-// takeObservations returns what this gateway saw of the endpoints since its last report, those with losses first.
+// takeObservations returns and clears what this gateway has observed of the endpoints since its last report. Endpoints
+// with losses come first.
 func (lb *Balancer) takeObservations() []Observation {
 	var all []Observation
 	for _, withLosses := range []bool{true, false} {
 		for _, endpoint := range lb.endpoints {
 			unreported := endpoint.unreported
-			nothing := unreported.successes+unreported.losses == 0 && !unreported.utilization
-			if len(all) == maxObservations || (unreported.losses > 0) != withLosses || nothing {
+			nothingToReport := unreported.successes+unreported.losses == 0 && !unreported.utilization
+			if len(all) == maxObservations || (unreported.losses > 0) != withLosses || nothingToReport {
 				continue
 			}
 			observation := Observation{Endpoint: endpoint, Utilization: -1, Successes: unreported.successes, Losses: unreported.losses}
@@ -85,7 +89,7 @@
 	return all
 }
 
-// EvidenceReceived takes in a peer's evidence report. Of each sender the latest counts.
+// EvidenceReceived processes a peer's evidence report. Only the latest report of each sender counts.
 func (lb *Balancer) EvidenceReceived(report *EvidenceReport, now monotonic.Time) {
 	peers := &lb.rollout.peers
 	if report.Sender < 0 || report.Sender >= peers.reports.Gateways() || report.Sender == lb.rank {
@@ -99,13 +103,14 @@
 	countedAt := lb.rollout.clocks.toLocal(report.Sender, report.CountedAt, now)
 	current := &rollout.Report{CountedAt: countedAt, Build: report.Build, Counters: counters}
 	previous, accepted := peers.reports.Accept(report.Sender, current)
-	// Build 0 stands for no build under judgement: a report that names it is of none, and there are no totals to reconcile.
+	// Build 0 means that no build is under evaluation: a report for build 0 belongs to no build, and there are no
+	// totals to reconcile.
 	if accepted && lb.rollout.evaluating() && report.Build == lb.rollout.build {
 		lb.reconcileTotals(previous, current)
 	}
 }
 
-// recordObservations takes in what a peer saw of the endpoints.
+// recordObservations adds what a peer observed of the endpoints to their results.
 func (lb *Balancer) recordObservations(observations []Observation, now monotonic.Time) {
 	for _, seen := range observations {
 		if !seen.Endpoint.listed {
@@ -118,8 +123,9 @@
 	}
 }
 
-// reconcileTotals keeps the totals of a peer's earlier incarnation. It leaves those of a peer whose first report comes late out
-// of the comparison of costs: the busy time beside its attempts was not counted.
+// reconcileTotals handles a peer's totals that do not continue earlier ones. If the peer has restarted, its totals from
+// before the restart are kept. If its first report comes late, its totals until then are left out of the cost
+// comparison, as the busy time that belongs to them was not counted.
 func (lb *Balancer) reconcileTotals(previous, current *rollout.Report) {
 	cost := &lb.rollout.cost
 	if previous != nil {
@@ -131,20 +137,21 @@
 	}
 }
 
-// updateReporting finds out whether enough peers are heard to compare costs. Lost messages, and a restart of this gateway
-// amid a canary, leave attempts without the busy time beside them: the comparison restarts once enough are heard.
+// updateReporting determines whether enough peers are reporting to compare costs. After lost messages, or a restart of
+// this gateway during a canary phase, attempts were counted without the busy time that belongs to them, so the
+// comparison restarts once enough peers are reporting.
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
 	peers.reportingPeers = peers.reports.CountedSince(now - evidenceTTL)
 	peers.tooFewReporting = minReportingDenominator*peers.reportingPeers < minReportingNumerator*(lb.gateways-1)
 	if peers.tooFewReporting || !isVoter {
-		peers.tooFewReportingAt, cost.pendingFleetCosts = now, nil // what the fleet did meanwhile is not known
+		peers.tooFewReportingAt, cost.pendingFleetCosts = now, nil // the cost of the fleet in this time is not known
 	}
 	if state.evaluating() && peers.tooFewReporting && now-state.buildSeenAt >= voterReportTTL {
 		cost.totalsAtStart = nil
 	} else if state.evaluating() && !peers.tooFewReporting && cost.totalsAtStart == nil {
 		lb.restartCostComparison(now)
 	}
-	// A few attempts come in bursts: the comparison needs a whole exposure window.
+	// A small number of attempts comes in bursts, so the comparison needs at least one whole exposure window.
 	cost.comparable = cost.totalsAtStart != nil && now-cost.startedAt >= max(voterReportTTL, lb.canary.exposure.Window())
 }
--- a/decision/rollbackcase.go
+++ b/decision/rollbackcase.go
@@ -10,21 +10,25 @@
 )
 
 const (
-	// rollbackConditionHold is how long a case by failures must stand once few baseline endpoints remain.
+	// rollbackConditionHold is the time for which evidence by failures must stay above the threshold once few baseline
+	// endpoints remain.
 	rollbackConditionHold = time.Second
-	// timerHoldLevel: where a timer promotes, a rollback is voted as long as the evidence stays above this.
+	// timerHoldLevel is the e-value below which the evidence must fall before a rollback is no longer voted, if a timer
+	// promotes.
 	timerHoldLevel = 4.0
 )
 
-// rollbackCondition is whether the evidence has rejected the build.
+// rollbackCondition records whether the evidence has rejected the build.
 type rollbackCondition struct {
 	met              bool
 	belowThresholdAt monotonic.Time // when the evidence was last below the threshold
 }
 
-// update takes in the evidence as it is now. A case that stands is not dropped, except where a timer promotes and the evidence
-// has fallen far. Once few baseline endpoints remain, a case by failures must stand a while: this guards against endpoints that
-// begin to fail after a release, until they are found to be outliers, and harms where a build does so.
+// update evaluates the present evidence. Once met, the condition stays met, except if a timer promotes and the evidence
+// has fallen below timerHoldLevel. Once few baseline endpoints remain, evidence by failures must stay above the
+// threshold for rollbackConditionHold, whereas evidence by cost counts at once. This guards against single endpoints
+// that begin to fail after a release, until they are found to be outliers. It delays the rollback of a build that does
+// so itself.
 func (r *rollbackCondition) update(evidence rollout.Evidence, baselineRemains bool, mode PromotionMode, now monotonic.Time) {
 	threshold := sequentialtest.LogThreshold()
 	if evidence.All >= threshold {
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -7,7 +7,7 @@
 	"laurelring/decision/rollout"
 )
 
-// rolloutSettings is what the deployment says of rollouts.
+// rolloutSettings is the rollout configuration of the deployment.
 type rolloutSettings struct {
 	mode                        PromotionMode
 	promoteVotes, rollbackVotes int
@@ -18,12 +18,12 @@
 	peerMessages                bool
 }
 
-// rolloutState is what this gateway knows of the build under judgement, and its part in the verdict.
+// rolloutState is what this gateway knows of the build under evaluation, and the state of its own votes.
 type rolloutState struct {
 	settings       rolloutSettings
-	build          int            // the build under judgement, 0 for none
-	buildSeenAt    monotonic.Time // when the endpoint list or the rollout controller first named it
-	statusReceived bool           // a rollout status has come since this gateway started
+	build          int            // the build under evaluation, 0 for none
+	buildSeenAt    monotonic.Time // when the build was first seen, in the endpoint list or in a rollout status
+	statusReceived bool           // a rollout status has arrived since this gateway started
 
 	evidence evidenceState
 	cost     costState
@@ -57,21 +57,22 @@
 	}
 }
 
-// evaluating reports whether a build is under judgement, and evidence on it is counted.
+// evaluating reports whether a build is under evaluation. Evidence is counted only while one is.
 func (r *rolloutState) evaluating() bool { return r.evidence.ownTotals != nil }
 
-// startStage begins a stage or a phase of the newest build.
+// startStage resets the state of the stage at the start of a new stage or phase of the newest build.
 func (r *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
 	r.stage.startedAt, r.stage.allListed = startedAt, false
 	r.vote.nextAt = 0
 	r.evidence.totalsAtStageStart = nil
 	if r.evaluating() && phase == PhaseCanary {
-		// What the fleet's requests cost at a smaller stage says little about this one.
+		// The cost of requests to the fleet at an earlier, smaller stage says little about this one.
 		r.cost.fleetCost, r.cost.pendingFleetCosts = rollout.FleetCost{}, nil
 	}
 }
 
-// beginCanary puts a build under judgement when it is first seen. The build that the gateway starts with is not judged.
+// beginCanary starts the evaluation of a build when it is first seen. The build that the gateway starts with is not
+// evaluated.
 func (lb *Balancer) beginCanary(build int, now monotonic.Time) {
 	state := &lb.rollout
 	if lb.canary.build < 0 || build <= state.build || !lb.isCanary(build) {
@@ -85,7 +86,7 @@
 	state.peers.reports.Judge(build)
 	state.evidence = newEvidenceState(len(lb.opTypes))
 	var costStart rollout.Table
-	if state.statusReceived { // this gateway ran before the build was seen, and so counts all of its busy time
+	if state.statusReceived { // this gateway ran before the build was seen, so it counts all busy time of the build
 		costStart = rollout.NewTable(len(lb.opTypes))
 	}
 	state.cost.restart(costStart)
@@ -93,7 +94,7 @@
 	state.vote.last, state.vote.nextAt = Vote{}, 0
 }
 
-// advanceRollout does what is due for the build under judgement and returns when it is to be called again.
+// advanceRollout does the work that is due for the build under evaluation and returns the time of the next call.
 func (lb *Balancer) advanceRollout(now monotonic.Time, due *DueWork) monotonic.Time {
 	peers, stage := &lb.rollout.peers, &lb.rollout.stage
 	if now >= peers.nextReportAt {
--- a/decision/senderclock.go
+++ b/decision/senderclock.go
@@ -6,26 +6,28 @@
 	"laurelring/decision/monotonic"
 )
 
-// maxReportDelay is how late a report of another gateway may come. One that seems to be older, or of later on, was dated by a
-// clock that reads otherwise: that of a gateway whose wall clock had been stepped before it or this one started.
+// maxReportDelay is the longest delay of a report from another gateway. If a report seems to be older than this, or is
+// dated further than this in the future, the sender's clock differs from this gateway's, because the wall clock of one
+// of them was stepped before that gateway started.
 const maxReportDelay = 30 * time.Second
 
-// senderClocks translates the moments by which other gateways date their reports into this one's. Each gateway's clock begins
-// with its wall clock.
+// senderClocks converts the times in other gateways' reports to this gateway's clock. The clock of each gateway starts
+// at its wall clock time.
 type senderClocks struct {
-	offsets []time.Duration // to be added, by the rank of the sender
+	offsets []time.Duration // offset to add to a sender's time, by the rank of the sender
 }
 
 func newSenderClocks(gateways int) senderClocks {
 	return senderClocks{offsets: make([]time.Duration, gateways)}
 }
 
-// toLocal returns the moment of a report that comes now, by this gateway's clock. It is not long after now: a report must not
-// outlast those that follow it. The sender must be one of the fleet's.
-func (c *senderClocks) toLocal(sender int, at, now monotonic.Time) monotonic.Time {
-	local := at + c.offsets[sender]
+// toLocal converts a time in a report that arrives now to this gateway's clock. The result is at most maxClockSkew
+// after now, as a report with a later time would outrank the reports that follow it. sender must be the rank of a
+// gateway of the fleet.
+func (c *senderClocks) toLocal(sender int, senderTime, now monotonic.Time) monotonic.Time {
+	local := senderTime + c.offsets[sender]
 	if local < now-maxReportDelay || local > now+maxReportDelay {
-		c.offsets[sender] = now - at
+		c.offsets[sender] = now - senderTime
 		local = now
 	}
 	return min(local, now+maxClockSkew)
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -9,61 +9,67 @@
 )
 
 const (
-	// promoteWait is how long after the latest listed start of the stage's endpoints a promotion is voted.
+	// promoteWait is the time from the latest listed start of the stage's endpoints until a promotion is voted.
 	promoteWait = 3 * time.Second
-	// isolatedPromoteWait is the same for a gateway that hears too few others.
+	// isolatedPromoteWait replaces promoteWait at an isolated gateway, which receives reports from too few other
+	// gateways.
 	isolatedPromoteWait = 6 * time.Second
-	// isolatedMinLagShare is the share of the harm cost that the lag cost must be for such a gateway to vote a promotion.
+	// isolatedMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
+	// promotion.
 	isolatedMinLagShare = 0.05
-	// isolationDivisor: one gateway in this many must be heard, or a voter is blind.
+	// isolationDivisor: a voter is isolated if fewer than 1/isolationDivisor of the gateways, itself included, are
+	// reporting.
 	isolationDivisor = 3
-	// stageListedTimeout is the age at which a stage is judged by the endpoints listed, though fewer than its share.
+	// stageListedTimeout is the age of a stage from which a promotion is voted even if fewer endpoints than the stage's
+	// share are listed.
 	stageListedTimeout = 12 * time.Second
-	// stageShareTolerance keeps rounding errors in a stage's share from asking for one endpoint more.
+	// stageShareTolerance keeps a rounding error in a stage's share from requiring one more endpoint.
 	stageShareTolerance = 0.01
 
-	// lostAnswerGrace is how long after its timeout an unanswered vote blocks the next.
+	// lostAnswerGrace is the time after the timeout of an unanswered vote during which no other vote is cast.
 	lostAnswerGrace = time.Second
-	// notSentRetryDelay is the delay before a vote that was not sent is cast again: soon, but not at once, as all gateways
-	// share the rollout controller.
+	// notSentRetryDelay is the delay before a vote that was not sent is cast again. It is short, but above 0, as all
+	// gateways call the same rollout controller.
 	notSentRetryDelay = 500 * time.Millisecond
-	// uncertainRetryDelay and uncertainRetryJitter space out the repetition of a vote that may or may not have counted.
+	// uncertainRetryDelay is the shortest delay before a vote that may or may not have counted is cast again, and
+	// uncertainRetryJitter is the range of the random delay added to it.
 	uncertainRetryDelay  = 300 * time.Millisecond
 	uncertainRetryJitter = 400 * time.Millisecond
 )
 
-// stageState is what is known of the present stage.
+// stageState is the state of the present stage.
 type stageState struct {
-	startedAt      monotonic.Time // when this gateway was notified of it, less its age then
-	allListed      bool           // all of its endpoints are or were listed
-	promoteCheckAt monotonic.Time // when the wait before a promotion is over; noCheck where none is awaited
+	startedAt      monotonic.Time // when the stage began: when this gateway was notified of it, less its age then
+	allListed      bool           // all endpoints of the stage are or were listed
+	promoteCheckAt monotonic.Time // when the wait before a promotion ends; noCheck if there is no such wait
 }
 
-// noCheck is a moment that never comes.
+// noCheck is a time that is never reached.
 const noCheck = monotonic.Time(math.MaxInt64)
 
-// voteState is this gateway's last vote.
+// voteState is the state of this gateway's last vote.
 type voteState struct {
 	last     Vote
 	castAt   monotonic.Time
-	inFlight bool // not yet answered
-	nextAt   monotonic.Time
+	inFlight bool           // the vote is not yet answered
+	nextAt   monotonic.Time // when the same vote is to be cast again
 }
 
-// currentVerdict returns what this gateway votes: a voter by its own evidence, another by the voters' reports.
+// currentVerdict returns the verdict for which this gateway votes: a voter's own verdict on the evidence, or the
+// verdict that the voters report to this gateway.
 func (lb *Balancer) currentVerdict(now monotonic.Time) Verdict {
 	state, canary := &lb.rollout, &lb.canary
 	if !state.evaluating() || canary.build != state.build || canary.phase == PhaseRollingBack || canary.phase == PhaseRolledBack {
 		return VerdictNone
 	}
-	blind := state.settings.peerMessages && isolationDivisor*(state.peers.reportingPeers+1) < lb.gateways
+	isolated := state.settings.peerMessages && isolationDivisor*(state.peers.reportingPeers+1) < lb.gateways
 	if !slices.Contains(lb.voters(state.build), lb.rank) {
 		if verdict, heard := lb.followedVerdict(now); heard {
 			return verdict
 		}
-		// A gateway that hears no voter judges by its own evidence: where many votes are required, so many would hardly err
-		// at once.
-		blind = true
+		// A gateway that receives no voter's report evaluates its own evidence. If many votes are required, it is
+		// unlikely that as many gateways are wrong at the same time.
+		isolated = true
 	}
 	state.rollback.update(lb.evidence(), lb.baselineRemains(), state.settings.mode, now)
 	if state.rollback.met {
@@ -72,26 +78,26 @@
 	if canary.phase != PhaseCanary || state.settings.mode == PromoteByTimer {
 		return VerdictNone
 	}
-	return lb.promotionVerdict(blind, now)
+	return lb.promotionVerdict(isolated, now)
 }
 
-// promotionVerdict promotes the build once the stage's endpoints have run for a while. A blind gateway lacks the others'
-// evidence: it promotes later, and not at all where a bad build costs far more than a wait. A bad build may come further than
-// it would with messages.
-func (lb *Balancer) promotionVerdict(blind bool, now monotonic.Time) Verdict {
+// promotionVerdict returns VerdictPromote once the stage's endpoints have run for long enough. An isolated gateway
+// lacks the other gateways' evidence, so it promotes later, and not at all if a bad build costs far more than a delay.
+// A bad build may reach a later stage than it would with the other gateways' evidence.
+func (lb *Balancer) promotionVerdict(isolated bool, now monotonic.Time) Verdict {
 	state := &lb.rollout
 	wait := promoteWait
-	if blind && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
+	if isolated && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
 		return VerdictNone
-	} else if blind {
+	} else if isolated {
 		wait = isolatedPromoteWait
 	}
 	latest, allListed := lb.latestStart()
 	if latest <= 0 {
 		return VerdictNone
 	}
-	if over := max(latest, state.stage.startedAt) + wait; now < over {
-		state.stage.promoteCheckAt = over
+	if waitEndsAt := max(latest, state.stage.startedAt) + wait; now < waitEndsAt {
+		state.stage.promoteCheckAt = waitEndsAt
 		return VerdictNone
 	}
 	if allListed || now-state.stage.startedAt > stageListedTimeout {
@@ -100,9 +106,9 @@
 	return VerdictNone
 }
 
-// latestStart returns the latest listed start of the build's endpoints, and whether all of the stage's are listed or were. It
-// guards against endpoints that crash during a stage, whose restarts are no starts of it, and harms where a build kills its
-// endpoints slowly: it is promoted with fewer.
+// latestStart returns the latest listed start of the build's endpoints, and whether all endpoints of the stage are or
+// were listed. Endpoints that crash during a stage do not delay its promotion, as their restarts do not count as
+// starts. A build that kills its endpoints slowly is therefore promoted with fewer endpoints.
 func (lb *Balancer) latestStart() (latest monotonic.Time, allListed bool) {
 	canary, state := &lb.canary, &lb.rollout
 	latest, listed := lb.buildStarts(canary.build)
@@ -112,7 +118,7 @@
 	return latest, state.stage.allListed
 }
 
-// buildStarts returns the latest start of a build's ready endpoints, and how many there are.
+// buildStarts returns the latest start among the ready endpoints of a build, and the number of these endpoints.
 func (lb *Balancer) buildStarts(build int) (latest monotonic.Time, listed int) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && endpoint.build == build {
@@ -123,7 +129,7 @@
 	return latest, listed
 }
 
-// castVote casts this gateway's vote when it has changed, before it lapses, and again after a lost answer.
+// castVote casts this gateway's vote if it has changed, before the last vote expires, and again after a lost answer.
 func (lb *Balancer) castVote(verdict Verdict, now monotonic.Time, due *DueWork) {
 	state, canary := &lb.rollout, &lb.canary
 	vote := Vote{Build: state.build, Stage: canary.stage, Verdict: verdict}
@@ -134,7 +140,8 @@
 	state.vote = voteState{last: vote, castAt: now, inFlight: true, nextAt: now + state.settings.answerTimeout}
 }
 
-// isDue reports whether a vote is to be cast: not while the one before is unanswered, and not while it says the same and stands.
+// isDue reports whether a vote is to be cast now. It is not while the last vote is unanswered, or is the same and has
+// not expired. A vote without a verdict is cast only to withdraw an earlier vote.
 func (v *voteState) isDue(vote Vote, answerTimeout time.Duration, now monotonic.Time) bool {
 	if vote.Verdict == VerdictNone && v.last.Verdict == VerdictNone {
 		return false
@@ -145,7 +152,7 @@
 	return vote != v.last || now >= v.nextAt
 }
 
-// VoteAnswered takes in how the casting of a vote ended. One that was not counted, or may not have been, is cast again.
+// VoteAnswered records how the call that cast a vote ended. A vote that did not count, or may not have, is cast again.
 func (lb *Balancer) VoteAnswered(outcome Outcome, now monotonic.Time) {
 	vote := &lb.rollout.vote
 	vote.inFlight = false
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// voterReportInterval is how often a voter repeats its report.
+	// voterReportInterval is the interval at which a voter repeats an unchanged report.
 	voterReportInterval = time.Second
-	// voterReportTTL is the age from which a voter's report is not followed.
+	// voterReportTTL is the age above which a voter's report is no longer followed.
 	voterReportTTL = 3 * time.Second
 )
 
-// voterState is who judges a build, and what they report.
+// voterState is which gateways vote on a build, and what they report.
 type voterState struct {
 	selection rollout.Voters
-	reports   []*VoterReport // the latest of each voter, on the newest build and on one after it
+	reports   []*VoterReport // the latest of each voter on the newest known build, and on any later build
 
-	// What this gateway last reported as a voter, and when it repeats that.
+	// What this gateway last reported as a voter, and when it repeats the report.
 	reportedVerdict  Verdict
 	reportedOutliers int
 	nextReportAt     monotonic.Time
 }
 
-// voters returns the ranks of the gateways that judge a build.
+// voters returns the ranks of the gateways that vote on a build by their own evaluation of the evidence.
 func (lb *Balancer) voters(build int) []int { return lb.rollout.voters.selection.On(build) }
 
-// followedVerdict returns the voters' verdict as last reported: a rollback where one of them reports it, else a promotion
-// where one reports it of the present stage. It guards against a fleet too large for every gateway to hear all others; a
-// faulty voter would take the fleet with it. It also reports whether any voter is heard.
+// followedVerdict returns the verdict that the voters last reported: a rollback if any voter reports one, else a
+// promotion if a voter reports one for the present stage. Following voters allows fleets that are too large for every
+// gateway to receive all others' reports; the cost is that one faulty voter decides for the whole fleet. heard reports
+// whether any voter's report is recent enough.
 func (lb *Balancer) followedVerdict(now monotonic.Time) (verdict Verdict, heard bool) {
 	for _, report := range lb.rollout.voters.reports {
 		if report.Build != lb.canary.build || now-report.receivedAt > voterReportTTL {
@@ -48,7 +49,8 @@
 	return verdict, heard
 }
 
-// reportAndVote sends this gateway's totals to the voters, judges, votes, and reports as a voter to the others.
+// reportAndVote sends this gateway's totals to the voters, evaluates the build, casts a vote, and reports to the other
+// gateways if this gateway is a voter.
 func (lb *Balancer) reportAndVote(now monotonic.Time, due *DueWork) {
 	state := &lb.rollout
 	build := max(state.build, lb.canary.build)
@@ -58,7 +60,7 @@
 	lb.reportEvidence(build, voters, now, due)
 	lb.updateReporting(isVoter, now)
 	verdict := VerdictNone
-	// One vote of a few voters is enough where no more are required.
+	// The votes of the few voters suffice if no more votes than voters are required.
 	followersVote := max(state.settings.promoteVotes, state.settings.rollbackVotes) > len(voters)
 	if state.evaluating() && (isVoter || followersVote) {
 		verdict = lb.currentVerdict(now)
@@ -69,13 +71,13 @@
 	}
 }
 
-// reportVerdict reports a voter's verdict and outliers to all other gateways, if there are any that follow it: when they
-// change, and again at intervals.
-func (lb *Balancer) reportVerdict(build int, verdict Verdict, followed bool, now monotonic.Time, due *DueWork) {
+// reportVerdict reports a voter's verdict and outliers to all other gateways, if any follow it: when they change, and
+// again every voterReportInterval.
+func (lb *Balancer) reportVerdict(build int, verdict Verdict, hasFollowers bool, now monotonic.Time, due *DueWork) {
 	voters := &lb.rollout.voters
 	outliers := lb.detectOutliers(now)
 	unchanged := verdict == voters.reportedVerdict && len(outliers) == voters.reportedOutliers && now < voters.nextReportAt
-	if !followed || unchanged {
+	if !hasFollowers || unchanged {
 		return
 	}
 	voters.reportedVerdict, voters.reportedOutliers, voters.nextReportAt = verdict, len(outliers), now+voterReportInterval
@@ -90,8 +92,8 @@
 	}
 }
 
-// VoterReportReceived takes in a voter's report. Of each voter the latest counts, of those on the newest build that is known here
-// and of those on later ones; other gateways are not heard.
+// VoterReportReceived processes a voter's report. Of each voter, the latest report on the newest build that is known
+// here counts, and the latest report on a later build. Reports of other gateways are ignored.
 func (lb *Balancer) VoterReportReceived(report *VoterReport, now monotonic.Time) {
 	state := &lb.rollout
 	newest := max(state.build, lb.canary.build)
@@ -104,15 +106,16 @@
 	for _, endpoint := range report.Outliers {
 		endpoint.outlierUntil = now + voterReportInterval + evidenceInterval
 	}
-	// A gateway that restarted amid a canary has no figure of its own.
+	// A gateway that restarted during a canary phase has not measured the baseline cost itself.
 	if report.BaselineCost > 0 && (!state.evaluating() || state.cost.baselineCost == 0) {
 		state.cost.baselineCost = report.BaselineCost
 	}
 	state.voters.store(report, newest)
 }
 
-// store keeps a report if it is its sender's latest: on the newest build known, or on one after that. So each voter has two at
-// most, and a report on a build that nobody else knows displaces none on the present one.
+// store keeps a report if it is its sender's latest on the newest known build, or its latest on any later build. So at
+// most two reports of each voter are kept, and a report on a build that nobody else knows does not replace the report
+// on the present build.
 func (v *voterState) store(report *VoterReport, newest int) {
 	v.reports = slices.DeleteFunc(v.reports, func(previous *VoterReport) bool {
 		return previous.Sender == report.Sender && previous.Build < newest
