--- a/decision/canary.go
+++ b/decision/canary.go
@@ -19,10 +19,10 @@
 	closedStages int       // the first closedStages stages are closed to requests that are not idempotent
 	stageCaps    []float64 // exposure cap by stage, as a share of the requests
 
-	build       int // the newest build that the rollout controller has announced, -1 before the first announcement
-	stage       int
-	phase       RolloutPhase
-	exposureCap float64 // share of the requests that may go to the build
+	build int // the newest build that the rollout controller has announced, -1 before the first announcement
+	stage int
+	phase RolloutPhase
+	cap   float64 // share of the requests that may go to the build
 
 	heldUntil monotonic.Time // no attempt at a canary build starts before this time
 
@@ -50,9 +50,7 @@
 }
 
 // CanaryExposed reports whether the newest build is in its canary phase with an exposure cap above 0.
-func (lb *Balancer) CanaryExposed() bool {
-	return lb.canary.phase == PhaseCanary && lb.canary.exposureCap > 0
-}
+func (lb *Balancer) CanaryExposed() bool { return lb.canary.phase == PhaseCanary && lb.canary.cap > 0 }
 
 // HoldCanary starts no attempt at a canary build for one tick. The caller uses it while messages that may lower the
 // exposure cap have arrived and are not yet processed.
@@ -69,7 +67,7 @@
 // a build that is not announced yet.
 func (canary *canaryState) stageAndCap(build int) (stage int, exposureCap float64) {
 	if build == canary.build {
-		return canary.stage, canary.exposureCap
+		return canary.stage, canary.cap
 	}
 	if len(canary.stageCaps) > 0 {
 		return 0, canary.stageCaps[0]
@@ -139,7 +137,7 @@
 	if status.Build != canary.build || status.Stage != canary.stage || status.Phase != canary.phase {
 		rollout.startStage(now-status.Age, status.Phase)
 	}
-	canary.build, canary.stage, canary.phase, canary.exposureCap = status.Build, status.Stage, status.Phase, status.ExposureCap
+	canary.build, canary.stage, canary.phase, canary.cap = status.Build, status.Stage, status.Phase, status.ExposureCap
 	if status.Phase == PhaseRollingBack || status.Phase == PhaseRolledBack {
 		canary.stickyKeys.RolledBack(status.Build)
 	}
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -100,7 +100,7 @@
 		return
 	}
 	lb.recordObservations(report.Observations, now)
-	countedAt := lb.rollout.clocks.toLocal(report.Sender, report.CountedAt, now)
+	countedAt := lb.rollout.clocks.local(report.Sender, report.CountedAt, now)
 	current := &rollout.Report{CountedAt: countedAt, Build: report.Build, Counters: counters}
 	previous, accepted := peers.reports.Accept(report.Sender, current)
 	// Build 0 means that no build is under evaluation: a report for build 0 belongs to no build, and there are no
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -62,7 +62,7 @@
 
 // startStage resets the state of the stage at the start of a new stage or phase of the newest build.
 func (r *rolloutState) startStage(startedAt monotonic.Time, phase RolloutPhase) {
-	r.stage.startedAt, r.stage.allListed = startedAt, false
+	r.stage.startedAt, r.stage.listed = startedAt, false
 	r.vote.nextAt = 0
 	r.evidence.totalsAtStageStart = nil
 	if r.evaluating() && phase == PhaseCanary {
--- a/decision/rules.go
+++ b/decision/rules.go
@@ -29,7 +29,7 @@
 func (lb *Balancer) AttemptAllowed(attempt *Attempt, now monotonic.Time) bool {
 	endpoint := attempt.endpoint
 	return !attempt.request.completed && lb.endpointUsable(endpoint, now) && endpoint.build == attempt.build &&
-		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.exposureCap <= 0)
+		!(lb.isCanary(attempt.build) && attempt.build <= lb.canary.build && lb.canary.cap <= 0)
 }
 
 // MaySend reports whether an attempt of which nothing has gone out may go out now: it is still allowed, its time is not over,
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -26,7 +26,7 @@
 // one may serve it, full or not, and each only now and then: an endpoint that fails fast is never full and would get all.
 func (lb *Balancer) candidates(request *Request, now monotonic.Time) candidates {
 	var canary, stable, suspect []*Endpoint // local, so that the compiler keeps the short ones off the heap
-	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.exposureCap, lb.rollout.build)
+	full, mayUseCanary := false, lb.canary.stickyKeys.MayBind(request.key, lb.canary.cap, lb.rollout.build)
 	stableInFlight, stablePower := lb.stableInFlight()
 	for _, endpoint := range lb.endpoints {
 		isCanary := lb.isCanary(endpoint.build)
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -14,9 +14,9 @@
 	// isolatedPromoteWait replaces promoteWait at an isolated gateway, which receives reports from too few other
 	// gateways.
 	isolatedPromoteWait = 6 * time.Second
-	// isolatedMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
+	// blindMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
 	// promotion.
-	isolatedMinLagShare = 0.05
+	blindMinLagShare = 0.05
 	// isolationDivisor: a voter is isolated if fewer than 1/isolationDivisor of the gateways, itself included, are
 	// reporting.
 	isolationDivisor = 3
@@ -40,7 +40,7 @@
 // stageState is the state of the present stage.
 type stageState struct {
 	startedAt      monotonic.Time // when the stage began: when this gateway was notified of it, less its age then
-	allListed      bool           // all endpoints of the stage are or were listed
+	listed         bool           // all endpoints of the stage are or were listed
 	promoteCheckAt monotonic.Time // when the wait before a promotion ends; noCheck if there is no such wait
 }
 
@@ -87,7 +87,7 @@
 func (lb *Balancer) promotionVerdict(isolated bool, now monotonic.Time) Verdict {
 	state := &lb.rollout
 	wait := promoteWait
-	if isolated && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
+	if isolated && state.settings.lagCost < blindMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if isolated {
 		wait = isolatedPromoteWait
@@ -113,9 +113,9 @@
 	canary, state := &lb.canary, &lb.rollout
 	latest, listed := lb.buildStarts(canary.build)
 	shares := state.settings.stageShares
-	state.stage.allListed = state.stage.allListed || canary.stage >= len(shares) ||
+	state.stage.listed = state.stage.listed || canary.stage >= len(shares) ||
 		float64(listed) >= math.Ceil(shares[canary.stage]*float64(lb.endpointList.maxEndpoints)-stageShareTolerance)
-	return latest, state.stage.allListed
+	return latest, state.stage.listed
 }
 
 // buildStarts returns the latest start among the ready endpoints of a build, and the number of these endpoints.
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -102,7 +102,7 @@
 		return
 	}
 	report.receivedAt = now
-	report.FoundAt = state.clocks.toLocal(report.Sender, report.FoundAt, now)
+	report.FoundAt = state.clocks.local(report.Sender, report.FoundAt, now)
 	for _, endpoint := range report.Outliers {
 		endpoint.outlierUntil = now + voterReportInterval + evidenceInterval
 	}
