--- a/decision/canary.go
+++ b/decision/canary.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// canaryShareSpan is the time span over which the attempts at a canary endpoint are limited to its share of the requests.
+	// canaryShareSpan is the time span over which the attempts at a canary endpoint are limited to its share of the
+	// requests.
 	canaryShareSpan = 4 * time.Second
 	// canaryShareFactor limits the attempts at a canary endpoint, as a multiple of its share of the requests.
 	canaryShareFactor = 1.1
