--- a/decision/canary.go
+++ b/decision/canary.go
@@ -53,7 +53,7 @@
 // CanaryExposed reports whether the newest build is in its canary phase with an exposure cap above 0.
 func (lb *Balancer) CanaryExposed() bool { return lb.canary.phase == PhaseCanary && lb.canary.cap > 0 }
 
-// HoldCanary starts no attempt at a canary build for one tick. The caller uses it while messages that may lower the
+// HoldCanary lets no attempt at a canary build start for one tick. The caller uses it while messages that may lower the
 // exposure cap have arrived and are not yet processed.
 func (lb *Balancer) HoldCanary(now monotonic.Time) { lb.canary.heldUntil = now + lb.tick }
 
@@ -129,7 +129,7 @@
 	Age         time.Duration // time since this status began
 }
 
-// RolloutChanged applies a rollout status. The status of an earlier build than the newest known one is ignored.
+// RolloutChanged applies a rollout status. A status of an earlier build than the newest announced one is ignored.
 func (lb *Balancer) RolloutChanged(status RolloutStatus, now monotonic.Time) {
 	canary, rollout := &lb.canary, &lb.rollout
 	if status.Build < canary.build {
--- a/decision/messages.go
+++ b/decision/messages.go
@@ -126,7 +126,7 @@
 	Successes, Losses int
 }
 
-// VoterReport is what a voter concludes from the pooled evidence, as sent to the gateways that follow its vote.
+// VoterReport is what a voter concludes from the pooled evidence, as sent to the gateways that follow its verdict.
 type VoterReport struct {
 	Sender       int
 	FoundAt      monotonic.Time // when the voter concluded this; only the latest report of a sender counts
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -66,7 +66,7 @@
 	case !state.evaluating() && cost.baselineCost == 0:
 		cost.baselineCost = current
 	case !state.evaluating() || lb.canary.phase == PhaseCanary && lb.canaryEndpoints() == 0:
-		// No endpoint of the build is listed yet.
+		// No listed endpoint runs a build under evaluation.
 		cost.baselineCost += baselineCostGain * (current - cost.baselineCost)
 	case cost.baselineCost > 0 && mature:
 		requests := answers * float64(evidenceInterval) / float64(observationDecay) // requests of this interval
@@ -92,8 +92,8 @@
 		if endpoint.ready && now-endpoint.startedAt > lb.slowStart.warmUp && now-endpoint.utilizationAt < utilizationTTL {
 			endpoint.recordResults(0, 0, now)
 			busyTime += endpoint.utilization * lb.normalizedPower(endpoint)
-			// Corrects for the time in which results were not counted, as this gateway did not hear most others or the
-			// endpoint was not yet listed.
+			// Corrects for the time in which results were not counted, as too few peers were reporting or the endpoint
+			// was not yet listed.
 			countedFor := max(now-max(lb.rollout.peers.tooFewReportingAt, endpoint.learnedAt), evidenceInterval)
 			answers += (endpoint.decayedSuccesses + lostAttemptCost*endpoint.decayedLosses) / (1 - decay.Factor(0, countedFor, observationDecay))
 		}
--- a/decision/senderclock.go
+++ b/decision/senderclock.go
@@ -21,9 +21,9 @@
 	return senderClocks{offsets: make([]time.Duration, gateways)}
 }
 
-// local converts a time in a report that arrives now to this gateway's clock. The result is at most maxClockSkew
-// after now, as a report with a later time would outrank the reports that follow it. sender must be the rank of a
-// gateway of the fleet.
+// local converts a time in a report that arrives now to this gateway's clock. The result is at most maxClockSkew after
+// now, as a report with a later time would outrank the reports that follow it. sender must be the rank of a gateway of
+// the fleet.
 func (c *senderClocks) local(sender int, senderTime, now monotonic.Time) monotonic.Time {
 	local := senderTime + c.offsets[sender]
 	if local < now-maxReportDelay || local > now+maxReportDelay {
