--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		newestBuild = max(newestBuild, endpoint.build)
-		if !lb.rollout.judging() || endpoint.build < lb.rollout.build {
+		if !lb.rollout.evaluating() || endpoint.build < lb.rollout.build {
 			relativeCapacity += lb.relativeCapacity(endpoint)
 			endpoints++
 		}
