--- a/decision/exposure/exposure.go
+++ b/decision/exposure/exposure.go
@@ -1,5 +1,5 @@
-// Package exposure bounds how many requests meet a canary build: by a cap on the attempts at it, and by sticky keys, which
-// must not go back to an earlier build once a later one has answered them.
+// Package exposure limits how many requests are served by a canary build. A cap limits the attempts at the build, and
+// sticky keys keep a key that a later build has answered from being routed to an earlier build again.
 package exposure
 
 import (
@@ -9,23 +9,24 @@
 	"laurelring/decision/slidingwindow"
 )
 
-// Config says how attempts at a canary build are counted against the cap.
+// Config configures how attempts at a canary build are counted against the exposure cap.
 type Config struct {
-	Window    time.Duration // over which requests and attempts are counted
-	Allowance float64       // attempts beyond the cap's share of the requests
-	PerOpType bool          // the cap holds for each op type by itself
-	OpTypes   int           // how many op types there are
-	Margin    time.Duration // by which the window is longer for attempts and shorter for requests, for late clocks
+	Window    time.Duration // sliding window in which requests and attempts are counted
+	Allowance float64       // attempts allowed in addition to the cap's share of the requests
+	PerOpType bool          // apply the cap to each op type separately
+	OpTypes   int           // number of op types
+	// Margin lengthens the window for attempts and shortens it for requests, to allow for clocks that are read late.
+	Margin time.Duration
 }
 
-// Limiter holds the attempts at each canary build to a share of the requests in a sliding window.
+// Limiter limits the attempts at each canary build to a share of the requests in a sliding window.
 type Limiter struct {
 	config   Config
-	requests []slidingwindow.Window         // by op type, or one for all
-	attempts map[int][]slidingwindow.Window // by build, then as the requests
+	requests []slidingwindow.Window         // by op type, or only index 0 for all op types together
+	attempts map[int][]slidingwindow.Window // by build, then indexed like requests
 }
 
-// NewLimiter returns a limiter that has seen no request.
+// NewLimiter returns a limiter that has not counted any request.
 func NewLimiter(config Config) Limiter {
 	return Limiter{
 		config:   config,
@@ -34,9 +35,9 @@
 	}
 }
 
-// RecordRequest counts a request that has arrived.
+// RecordRequest counts an incoming request.
 func (l *Limiter) RecordRequest(opType int, now monotonic.Time) {
-	l.requests[l.counted(opType)].Add(now, l.config.Window)
+	l.requests[l.counterIndex(opType)].Add(now, l.config.Window)
 }
 
 // RecordAttempt counts an attempt at a canary build.
@@ -44,26 +45,27 @@
 	l.attemptsAt(build, opType).Add(now, l.config.Window)
 }
 
-// Allows reports whether one more attempt at a build keeps within a cap. A lower cap binds at once, attempts made before
-// it included: the grace that the deployment gives for it is not used.
-func (l *Limiter) Allows(build, opType int, limit float64, now monotonic.Time) bool {
+// Allows reports whether one more attempt at a build stays within the exposure cap. A lowered cap applies immediately
+// and also counts the attempts made before it was lowered: the grace period that the deployment grants is not used.
+func (l *Limiter) Allows(build, opType int, exposureCap float64, now monotonic.Time) bool {
 	attempts := l.attemptsAt(build, opType).CountAfter(now - l.config.Window - l.config.Margin)
-	requests := l.requests[l.counted(opType)].CountAfter(now - l.config.Window + l.config.Margin)
-	return float64(attempts+1) <= l.config.Allowance+limit*float64(requests)
+	requests := l.requests[l.counterIndex(opType)].CountAfter(now - l.config.Window + l.config.Margin)
+	return float64(attempts+1) <= l.config.Allowance+exposureCap*float64(requests)
 }
 
-// Window is the span over which requests and attempts are counted.
+// Window returns the length of the sliding window in which requests and attempts are counted.
 func (l *Limiter) Window() time.Duration { return l.config.Window }
 
+// attemptsAt returns the counted attempts at a build for an op type.
 func (l *Limiter) attemptsAt(build, opType int) *slidingwindow.Window {
 	if l.attempts[build] == nil {
 		l.attempts[build] = make([]slidingwindow.Window, l.config.OpTypes)
 	}
-	return &l.attempts[build][l.counted(opType)]
+	return &l.attempts[build][l.counterIndex(opType)]
 }
 
-// counted is the index under which an op type is counted.
-func (l *Limiter) counted(opType int) int {
+// counterIndex returns the index of the window that counts an op type.
+func (l *Limiter) counterIndex(opType int) int {
 	if l.config.PerOpType {
 		return opType
 	}
--- a/decision/exposure/stickykeys.go
+++ b/decision/exposure/stickykeys.go
@@ -1,81 +1,85 @@
 package exposure
 
 const (
-	maxCountedKeys = 200000 // keys that are counted before all counts start from 0 again; it bounds the memory
-	stickyCapShare = 0.6    // of the cap: once the sticky keys ask for this much of it, no further key becomes sticky
-	rareKeyShare   = 0.1    // of the cap: a key that asks for more of it by itself does not become sticky
+	maxCountedKeys = 200000 // number of counted keys above which all counts are reset, to bound memory use
+	maxStickyShare = 0.6    // share of the cap; while requests of sticky keys exceed it, no further key becomes sticky
+	maxNewKeyShare = 0.1    // share of the cap; a key whose earlier requests alone exceed it does not become sticky
 )
 
-// StickyKeys remembers which build answered a key last, and how many of the requests have a key that the canary build has
-// answered. A nil pointer stands for a deployment without sticky keys: it remembers nothing and allows all.
+// StickyKeys records the newest build that has answered each key, and how many of the requests have a key that the
+// canary build has answered. A nil pointer stands for a deployment without sticky keys: it records nothing and allows
+// everything.
 type StickyKeys struct {
-	builds         map[uint64]int // the newest build that has answered a key
-	counts         map[uint64]int // requests by key
-	keyedRequests  int            // requests with a key
-	canaryRequests int            // those of them whose key the canary build, or a later one, has answered
+	newestBuilds   map[uint64]int // by key, the newest build that has answered it
+	requestsByKey  map[uint64]int // number of requests with each key
+	keyedRequests  int            // number of requests with any key
+	canaryRequests int            // of these, requests whose key the canary build or a later one has answered
 }
 
 // NewStickyKeys returns the state of a deployment that has sticky keys.
 func NewStickyKeys() *StickyKeys {
-	return &StickyKeys{builds: map[uint64]int{}, counts: map[uint64]int{}}
+	return &StickyKeys{newestBuilds: map[uint64]int{}, requestsByKey: map[uint64]int{}}
 }
 
-// RecordRequest counts a request with a key. All counts start again once there are too many keys; old ones tell little.
+// RecordRequest counts a request with a key. All counts are reset once more than maxCountedKeys keys are counted, as
+// old counts say little about the present load.
 func (s *StickyKeys) RecordRequest(key uint64, canaryBuild int) {
 	if s == nil || key == 0 {
 		return
 	}
-	if len(s.counts) > maxCountedKeys {
-		s.counts, s.keyedRequests, s.canaryRequests = map[uint64]int{}, 0, 0
+	if len(s.requestsByKey) > maxCountedKeys {
+		s.requestsByKey, s.keyedRequests, s.canaryRequests = map[uint64]int{}, 0, 0
 	}
-	s.counts[key]++
+	s.requestsByKey[key]++
 	s.keyedRequests++
-	if s.builds[key] >= canaryBuild {
+	if s.newestBuilds[key] >= canaryBuild {
 		s.canaryRequests++
 	}
 }
 
-// RecordAnswer binds a key to a build that has answered it, and to later ones.
+// RecordAnswer records that a build has answered a key. Until the build is rolled back, only it and later builds may
+// serve the key.
 func (s *StickyKeys) RecordAnswer(key uint64, build, canaryBuild int) {
-	if s == nil || key == 0 || build <= s.builds[key] {
+	if s == nil || key == 0 || build <= s.newestBuilds[key] {
 		return
 	}
 	if build == canaryBuild {
-		s.canaryRequests += s.counts[key]
+		s.canaryRequests += s.requestsByKey[key]
 	}
-	s.builds[key] = build
+	s.newestBuilds[key] = build
 }
 
-// Allows reports whether no later build than this one has answered the key.
+// Allows reports whether a build may serve a key: it may unless a later build has answered the key.
 func (s *StickyKeys) Allows(key uint64, build int) bool {
-	return s == nil || key == 0 || build >= s.builds[key]
+	return s == nil || key == 0 || build >= s.newestBuilds[key]
 }
 
-// MayBind reports whether a request may go to the canary build, which binds its key to it. It keeps the sticky keys from
-// outgrowing the cap: rare keys go first, and none while the sticky ones already ask for most of the cap.
-func (s *StickyKeys) MayBind(key uint64, limit float64, canaryBuild int) bool {
-	if s == nil || key == 0 || limit >= 1 || s.builds[key] >= canaryBuild {
+// MayBind reports whether a request with a key may go to the canary build, whose answer makes the key sticky. It
+// keeps the requests of sticky keys within the exposure cap: only rare keys may become sticky, and none once the
+// requests of sticky keys use most of the cap.
+func (s *StickyKeys) MayBind(key uint64, exposureCap float64, canaryBuild int) bool {
+	if s == nil || key == 0 || exposureCap >= 1 || s.newestBuilds[key] >= canaryBuild {
 		return true
 	}
-	return float64(s.canaryRequests) <= stickyCapShare*limit*float64(s.keyedRequests) &&
-		float64(s.counts[key]-1) <= rareKeyShare*limit*float64(s.keyedRequests)
+	return float64(s.canaryRequests) <= maxStickyShare*exposureCap*float64(s.keyedRequests) &&
+		float64(s.requestsByKey[key]-1) <= maxNewKeyShare*exposureCap*float64(s.keyedRequests)
 }
 
-// CanaryStarted forgets the requests of the canary build before.
+// CanaryStarted resets the count of requests for keys that the previous canary build has answered.
 func (s *StickyKeys) CanaryStarted() {
 	if s != nil {
 		s.canaryRequests = 0
 	}
 }
 
-// RolledBack releases all keys that a build, or a later one, has answered.
+// RolledBack releases all keys that the rolled-back build or a later one has answered.
 func (s *StickyKeys) RolledBack(build int) {
 	if s == nil {
 		return
 	}
-	for key, bound := range s.builds {
-		if bound >= build {
-			delete(s.builds, key)
+	for key, newest := range s.newestBuilds {
+		if newest >= build {
+			delete(s.newestBuilds, key)
 		}
 	}
 	s.canaryRequests = 0
