--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -167,7 +167,7 @@
 	if state.evidence.stageStart == nil {
 		state.evidence.stageStart = pooled.Clone()
 	}
-	current := rollout.Case{
+	current := rollout.Comparison{
 		Pooled:          pooled,
 		StageStart:      state.evidence.stageStart,
 		CostStart:       state.cost.start,
--- a/decision/rollout/case.go
+++ b/decision/rollout/case.go
@@ -21,8 +21,8 @@
 	return min(maxFailureMargin, harmFailureMargin*lagCost/max(harmCost, minHarmCost))
 }
 
-// Case is all that speaks against a canary build at one moment.
-type Case struct {
+// Comparison is all that speaks against a canary build at one moment.
+type Comparison struct {
 	// Pooled is the sum of all gateways' counters, StageStart the same when the stage or the release was first looked at.
 	Pooled, StageStart Table
 	// CostStart is the same when busy time began to be counted, nil while it is not.
@@ -47,7 +47,7 @@
 
 // Evidence averages the factors of all looks at the case. The average keeps the level of the sequential test, so a look at
 // each op type and at costs is paid for.
-func (c *Case) Evidence() Evidence {
+func (c *Comparison) Evidence() Evidence {
 	failures := c.failureFactors()
 	finished := c.finishedAttempts()
 	cost, fleetCost := c.costFactor(finished), c.fleetCostFactor(finished)
@@ -64,12 +64,12 @@
 }
 
 // opTypes is how many op types the case has.
-func (c *Case) opTypes() int { return len(c.Pooled) / sides }
+func (c *Comparison) opTypes() int { return len(c.Pooled) / sides }
 
 // failureFactors returns two factors for each op type and one for all. Beside all of the canary's attempts those since its
 // stage or its release are tested: else many successes would hide a build that begins to fail once its endpoints have run
 // for a while.
-func (c *Case) failureFactors() []float64 {
+func (c *Comparison) failureFactors() []float64 {
 	var canaryTotal, baselineTotal sequentialtest.Counts
 	factors := make([]float64, 0, 2*c.opTypes()+3) // with room for the total and both costs
 	for opType := range c.opTypes() {
@@ -93,7 +93,7 @@
 }
 
 // finishedAttempts returns the attempts finished since busy time began to be counted.
-func (c *Case) finishedAttempts() (finished finishedBySide) {
+func (c *Comparison) finishedAttempts() (finished finishedBySide) {
 	if c.CostStart == nil {
 		return finished
 	}
@@ -111,7 +111,7 @@
 // costFactor compares the cost of the canary's requests with that of the baseline's, in the baseline's requests. Busy time
 // tells a slow build from queues, which load, cold keys and bursts make as well. It says nothing once few baseline endpoints
 // are left, as the canary's cost is then of another period, or while reports are missing.
-func (c *Case) costFactor(finished finishedBySide) float64 {
+func (c *Comparison) costFactor(finished finishedBySide) float64 {
 	busy := c.BusyTime
 	if c.CostComparable && busy.Canary > 0 && busy.Baseline > 0 && finished.canary > 0 && finished.baseline > 0 {
 		allowed := finished.canary * costMargin * (1 + singleEndpointCostMargin/float64(max(1, c.CanaryEndpoints)))
@@ -124,7 +124,7 @@
 
 // fleetCostFactor compares the fleet's cost with that before the build, at equal exposure. It says nothing where the canary's
 // requests cost less than the baseline's: then it is the baseline that turned slow.
-func (c *Case) fleetCostFactor(finished finishedBySide) float64 {
+func (c *Comparison) fleetCostFactor(finished finishedBySide) float64 {
 	busy, cost := c.BusyTime, c.FleetCost
 	if busy.Canary == 0 || busy.Canary*finished.baseline*costMargin >= busy.Baseline*finished.canary {
 		return sequentialtest.LogPairFactor(
