--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -135,7 +135,7 @@
 // amid a canary, leave attempts without the busy time beside them: the comparison restarts once enough are heard.
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
-	peers.reporting = peers.reports.CountedSince(now - evidenceTTL)
+	peers.reporting = peers.reports.ReportingSince(now - evidenceTTL)
 	peers.underReported = minReportingOf*peers.reporting < minReporting*(lb.gateways-1)
 	if peers.underReported || !isVoter {
 		peers.underReportedAt, cost.pendingFleet = now, nil // what the fleet did meanwhile is not known
--- a/decision/rollout/peers.go
+++ b/decision/rollout/peers.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// CountedSince returns how many gateways' latest reports were counted after a moment.
-func (p *PeerReports) CountedSince(after monotonic.Time) int {
+// ReportingSince returns how many gateways' latest reports were counted after a moment.
+func (p *PeerReports) ReportingSince(after monotonic.Time) int {
 	n := 0
 	for rank := range p.senders {
 		if sender := &p.senders[rank]; sender.heardAt != 0 && sender.heardAt > after {
