--- a/decision/discovery/lease.go
+++ b/decision/discovery/lease.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// ConfirmUnread renews the lease by an answer that is read at a moment and may have lain unread since an earlier one, through a
+// ConfirmAfterStall renews the lease by an answer that is read at a moment and may have lain unread since an earlier one, through a
 // stall of the process: the list was current then.
-func (l *Lease) ConfirmUnread(readAt, sentAfter monotonic.Time) {
+func (l *Lease) ConfirmAfterStall(readAt, sentAfter monotonic.Time) {
 	if readAt > l.suspectAt {
 		l.expiresAt = max(l.expiresAt, sentAfter+LeaseTTL)
 		l.confirmedAt = max(l.confirmedAt, sentAfter)
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -28,7 +28,7 @@
 // sent before that.
 func (lb *Balancer) EndpointListConfirmed(at monotonic.Time) {
 	if at >= lb.stallNoticedAt && lb.CatchingUp(at) {
-		lb.endpointList.lease.ConfirmUnread(at, lb.stallBeganAt)
+		lb.endpointList.lease.ConfirmAfterStall(at, lb.stallBeganAt)
 	} else {
 		lb.endpointList.lease.Confirm(at)
 	}
