--- a/decision/rollout/peers.go
+++ b/decision/rollout/peers.go
@@ -4,51 +4,52 @@
 
 // Report is one gateway's running totals on a build.
 type Report struct {
-	CountedAt monotonic.Time // by the sender's clock
+	CountedAt monotonic.Time // when the sender counted them, converted to this gateway's clock
 	Build     int
 	Counters  Table
 }
 
-// PeerReports has what the other gateways last reported. A report on an earlier build than the one under judgement says that
-// its sender is there, and nothing else. One on a later build, of which this gateway may learn next, is kept apart: it neither displaces its sender's
-// report on the build under judgement nor keeps a later one from being counted.
+// PeerReports holds the latest reports of the other gateways. A report on an earlier build than the one being judged
+// only shows that its sender is running. A report on a later build, which this gateway may not know yet, is stored
+// separately: it neither replaces its sender's report on the judged build nor prevents a later report on that build
+// from being counted.
 type PeerReports struct {
-	build   int // under judgement, 0 for none
+	build   int // the build being judged, 0 for none
 	senders []senderReports
 }
 
-// senderReports is what one gateway last reported.
+// senderReports holds the latest reports of one gateway.
 type senderReports struct {
-	current *Report        // on the build under judgement, nil where none has come
-	ahead   *Report        // on a later build, the latest; nil where none has come since the latest on the present one
-	heardAt monotonic.Time // when its latest was counted, on whatever build; 0 before that
+	current    *Report        // latest report on the build being judged, nil if none was received
+	laterBuild *Report        // latest report on a later build, nil if none was received since the current one
+	heardAt    monotonic.Time // when the latest report on any build was counted, 0 if there is none
 }
 
-// NewPeerReports returns the reports of a fleet's gateways, none of which has come and with no build under judgement.
+// NewPeerReports returns a PeerReports for a fleet of gateways without any report and without a build being judged.
 func NewPeerReports(gateways int) PeerReports {
 	return PeerReports{senders: make([]senderReports, gateways)}
 }
 
-// Gateways returns how many gateways the reports are of, this one included.
+// Gateways returns the number of gateways in the fleet, including this one.
 func (p *PeerReports) Gateways() int { return len(p.senders) }
 
-// Judge puts a later build under judgement. Reports on it that came before count from now on.
+// Judge makes a later build the one being judged. Reports on it that were received earlier count from now on.
 func (p *PeerReports) Judge(build int) {
 	p.build = build
 	for rank := range p.senders {
 		sender := &p.senders[rank]
 		sender.current = nil
-		if sender.ahead != nil && sender.ahead.Build <= build {
-			if sender.ahead.Build == build {
-				sender.current = sender.ahead
+		if sender.laterBuild != nil && sender.laterBuild.Build <= build {
+			if sender.laterBuild.Build == build {
+				sender.current = sender.laterBuild
 			}
-			sender.ahead = nil
+			sender.laterBuild = nil
 		}
 	}
 }
 
-// Accept stores a report if it is the latest of the gateway of a rank, and returns the one that it replaces. The rank must
-// be one of the fleet's.
+// Accept stores a report of the gateway with the given rank if it is newer than that gateway's previous one, and
+// returns the report that it replaces. The rank must be less than Gateways.
 func (p *PeerReports) Accept(rank int, report *Report) (previous *Report, accepted bool) {
 	sender := &p.senders[rank]
 	if report.Build < p.build {
@@ -57,21 +58,21 @@
 	}
 	latest := &sender.current
 	if report.Build > p.build || p.build == 0 {
-		latest = &sender.ahead
+		latest = &sender.laterBuild
 	}
 	previous = *latest
 	if previous != nil && report.CountedAt <= previous.CountedAt {
 		return previous, false
 	}
 	*latest = report
-	if latest == &sender.current && sender.ahead != nil && sender.ahead.CountedAt < report.CountedAt {
-		sender.ahead = nil
+	if latest == &sender.current && sender.laterBuild != nil && sender.laterBuild.CountedAt < report.CountedAt {
+		sender.laterBuild = nil
 	}
 	sender.heardAt = max(sender.heardAt, report.CountedAt)
 	return previous, true
 }
 
-// AddTo adds the totals of all reports on the build under judgement to a table.
+// AddTo adds the totals of all reports on the build being judged to a table.
 func (p *PeerReports) AddTo(sum Table) {
 	for rank := range p.senders {
 		if current := p.senders[rank].current; current != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// ReportingSince returns how many gateways' latest reports were counted after a moment.
+// ReportingSince returns the number of gateways whose latest report was counted after the given time.
 func (p *PeerReports) ReportingSince(after monotonic.Time) int {
 	n := 0
 	for rank := range p.senders {
--- a/decision/rollout/voters.go
+++ b/decision/rollout/voters.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// minVoters is how many gateways judge a build, where no more votes are required.
+	// minVoters is the number of gateways that judge a build unless more votes are required.
 	minVoters = 3
-	// maxPoolingVoters is the largest number of voters that pool the evidence, one more than the required votes. Where more are
-	// required, minVoters judge and the other gateways follow them.
+	// maxPoolingVoters is the largest number of voters, one more than the required votes, that pool the evidence.
+	// Where more would be needed, minVoters gateways judge the build and the others follow their verdict.
 	maxPoolingVoters = 5
 )
 
-// VoterCount returns how many of a fleet's gateways judge a build: one more than the required votes, as one may be cut off,
-// stopped or late, but few, whatever the size of the fleet. Gateways that cannot send one another messages all judge for
-// themselves.
+// VoterCount returns the number of a fleet's gateways that judge a build. It is one more than the required votes, as
+// one voter may be unreachable, stopped or late, but it stays small for a fleet of any size. Without peer messages
+// every gateway judges for itself.
 func VoterCount(gateways, requiredVotes int, peerMessages bool) int {
 	count := max(minVoters, requiredVotes+1)
 	if !peerMessages {
@@ -28,19 +28,19 @@
 	return min(count, gateways)
 }
 
-// Voters are the gateways that judge a build. They are the same at every gateway.
+// Voters selects the gateways that judge a build. Every gateway selects the same ones.
 type Voters struct {
 	gateways, count int
 
-	ranks []int // of the voters on build
+	ranks []int // ranks of the voters on build, nil before the first selection
 	build int
 }
 
-// NewVoters selects count voters among a fleet's gateways.
+// NewVoters returns the selection of count voters among a fleet's gateways.
 func NewVoters(gateways, count int) Voters { return Voters{gateways: gateways, count: count} }
 
-// On returns the ranks of the voters on a build: the first gateways in the order of their hash with it. The caller must not
-// change them.
+// On returns the ranks of the voters on a build: the first gateways when ordered by the hash of build and rank. The
+// caller must not modify the slice.
 func (v *Voters) On(build int) []int {
 	if v.ranks == nil || v.build != build {
 		ranks, hashes := make([]int, v.gateways), make([]uint64, v.gateways)
