--- a/decision/discovery/lease.go
+++ b/decision/discovery/lease.go
@@ -1,5 +1,5 @@
-// Package discovery decides how long the endpoint list is trusted and when discovery is polled for its changes. It
-// knows no list and makes no call.
+// Package discovery decides how long the endpoint list is trusted, and when to poll discovery for changes of the
+// list. It neither holds the list nor makes calls.
 package discovery
 
 import (
@@ -9,41 +9,45 @@
 )
 
 const (
-	// ChangeNotifiedWithin is how long after a change at discovery, once discovery can be reached, gateways count as
-	// notified of it.
+	// ChangeNotifiedWithin is the time after a change at discovery, while discovery is reachable, from which gateways
+	// are considered notified of the change.
 	ChangeNotifiedWithin = 6 * time.Second
-	// DrainSettleTime is how long an endpoint that is listed as draining may still serve new requests. Half a second was
-	// seen; a response from before that proves nothing.
+	// DrainSettleTime is how long an endpoint that is listed as draining may still serve new requests. Half a second
+	// has been observed. A response that arrives earlier does not prove that the endpoint is not draining.
 	DrainSettleTime = time.Second
-	// LeaseTTL is how long the list, or an endpoint's own proof, is trusted from the moment for which it was confirmed.
+	// LeaseTTL is how long the list, or an endpoint's proof of readiness, is trusted, counted from the time for which
+	// it was confirmed.
 	LeaseTTL = ChangeNotifiedWithin - DrainSettleTime/2
-	// PartialResponseLease is how long the list is trusted once a response of discovery has begun to arrive, until it is
-	// complete: the changes in it count as notified when it was written. Together with the longest stall of a gateway it
-	// is shorter than the grace of a drain.
+	// PartialResponseLease is how long the list is trusted after a response of discovery has begun to arrive and
+	// until it is complete: gateways are considered notified of the changes in a response from the time it was
+	// written. Together with the longest stall of a gateway this is shorter than the grace period of a drain.
 	PartialResponseLease = 700 * time.Millisecond
-	// BrokenResponseLease is the same from the end of a response that never became complete.
+	// BrokenResponseLease is how long the list is trusted after a response of discovery has broken off incomplete.
 	BrokenResponseLease = 200 * time.Millisecond
-	// InitialLease is how long the list that a gateway starts with is trusted: it may be old, and its changes may count
-	// as notified from the first moment on.
+	// InitialLease is how long the list that a gateway starts with is trusted. The list may be old, and the gateway
+	// may be considered notified of changes to it from the start.
 	InitialLease = time.Second
-	// MovedLease is how long the list is trusted after discovery has moved: from then on its changes count as notified.
+	// MovedLease is how long the list is trusted after discovery has moved to another address. Gateways are considered
+	// notified of changes at discovery from the move on.
 	MovedLease = 4 * time.Second
 )
 
-// Lease is how long the current endpoint list is trusted. The zero value trusts it for good.
+// Lease tracks how long the current endpoint list is trusted. The zero value trusts the list without limit.
 type Lease struct {
 	enabled     bool
 	expiresAt   monotonic.Time
-	confirmedAt monotonic.Time // the latest moment for which the current list was confirmed
-	suspectAt   monotonic.Time // changes from before it may count as notified although none arrived: older confirmations are void
+	confirmedAt monotonic.Time // the latest time for which the current list was confirmed
+	// suspectAt is the latest call of Suspect. Gateways may be considered notified of changes made before it,
+	// although none has arrived here, so confirmations for this time or earlier ones are invalid.
+	suspectAt monotonic.Time
 }
 
-// Start has the list trusted for no longer than the lease, the first one being short.
+// Start enables the lease: from now on the list is trusted only while the lease is valid. The first lease is short.
 func (l *Lease) Start(now monotonic.Time) {
 	*l = Lease{enabled: true, expiresAt: now + InitialLease}
 }
 
-// Confirm renews the lease: the list was current at a moment, as far as drains and removals go.
+// Confirm renews the lease: at the given time the list was current with respect to drains and removals.
 func (l *Lease) Confirm(at monotonic.Time) {
 	if at > l.suspectAt {
 		l.expiresAt = max(l.expiresAt, at+LeaseTTL)
@@ -51,8 +55,8 @@
 	}
 }
 
-// ConfirmAfterStall renews the lease by an answer that is read at a moment and may have lain unread since an earlier one, through a
-// stall of the process: the list was current then.
+// ConfirmAfterStall renews the lease by an answer that is read at readAt, after a stall of the process. The answer
+// may have been waiting unread since sentAfter, so it confirms the list only for that time.
 func (l *Lease) ConfirmAfterStall(readAt, sentAfter monotonic.Time) {
 	if readAt > l.suspectAt {
 		l.expiresAt = max(l.expiresAt, sentAfter+LeaseTTL)
@@ -60,7 +64,7 @@
 	}
 }
 
-// Suspect ends the lease after a span at the latest. What was confirmed or proved before now does not renew it any more.
+// Suspect limits the remaining validity of the lease. Confirmations and proofs for times up to now no longer renew it.
 func (l *Lease) Suspect(now monotonic.Time, remaining time.Duration) {
 	l.expiresAt = min(l.expiresAt, now+remaining)
 	l.suspectAt = max(l.suspectAt, now)
@@ -69,15 +73,15 @@
 // Valid reports whether the whole list is trusted.
 func (l *Lease) Valid(now monotonic.Time) bool { return !l.enabled || now < l.expiresAt }
 
-// ProvesReady reports whether serving on a connection that was opened at a moment proves that the endpoint does not
-// drain. Only a connection does that was open when the list was last confirmed: the id and the address of an endpoint that
-// has gone may have returned with another process, which no list has shown yet.
+// ProvesReady reports whether a response on a connection that was opened at the given time proves that the endpoint
+// is not draining. Only a connection that was open when the list was last confirmed proves this: the id and address
+// of a removed endpoint may have been reused by another process that no list has shown yet.
 func (l *Lease) ProvesReady(connectionOpenedAt monotonic.Time) bool {
 	return connectionOpenedAt <= l.confirmedAt
 }
 
-// Trusted reports whether the list may be relied on for an endpoint: while the lease is valid, or for as long after the
-// latest moment at which the endpoint proved that it did not drain.
+// Trusted reports whether the list may be relied on for an endpoint: while the lease is valid, or for LeaseTTL after
+// the latest time at which the endpoint proved that it was not draining.
 func (l *Lease) Trusted(provedReadyAt, now monotonic.Time) bool {
 	if l.Valid(now) {
 		return true
--- a/decision/discovery/polling.go
+++ b/decision/discovery/polling.go
@@ -9,74 +9,76 @@
 )
 
 const (
-	// The first poll of a gateway alone comes within firstPollAlone; those of a fleet are spread over firstPollPerGateway
-	// for each further gateway, up to maxFirstPoll.
-	firstPollAlone      = 10 * time.Millisecond
-	firstPollPerGateway = 100 * time.Millisecond
-	maxFirstPoll        = 2 * time.Second
-	// initialBackoff is the pause after a failed poll. It is doubled at each further one, and up to as much again is
-	// added at random: all watches break at once when discovery goes down, and the fleet must not poll in step.
+	// A single gateway makes its first poll within firstPollSingleGateway. For each further gateway of a fleet this
+	// time is longer by firstPollPerGateway, up to maxFirstPoll, to spread the first polls.
+	firstPollSingleGateway = 10 * time.Millisecond
+	firstPollPerGateway    = 100 * time.Millisecond
+	maxFirstPoll           = 2 * time.Second
+	// initialBackoff is the pause after a first failed poll. It doubles with each further failure, and a random time
+	// of up to the pause itself is added: when discovery goes down all watches break at once, and the gateways must
+	// not poll at the same time.
 	initialBackoff = 400 * time.Millisecond
-	// maxBackoff keeps a fleet whose polls all fail below what discovery can answer, or its queue never clears: one poll
-	// of each gateway in eight seconds is the least that it takes. With the random part a pause is one and a half times
-	// this in the mean.
+	// maxBackoff keeps the poll rate of a fleet whose polls all fail below the rate that discovery can answer, as
+	// otherwise the queue at discovery never drains. Discovery answers at least one poll of each gateway every
+	// eight seconds. Including the random part, the mean pause is one and a half times maxBackoff.
 	maxBackoff = 6400 * time.Millisecond
-	// crowdBackoff is the least pause where all gateways are known to be without an answer; less in proportion where
-	// fewer are.
-	crowdBackoff = 5600 * time.Millisecond
-	// maxDoublings keeps the shift from overflowing.
+	// fullOutageBackoff is the minimum pause if all gateways are known to be without an answer. If fewer are, the
+	// minimum is proportionally shorter.
+	fullOutageBackoff = 5600 * time.Millisecond
+	// maxDoublings keeps the shift of the backoff from overflowing.
 	maxDoublings = 10
 )
 
-// Never is a moment that does not come.
+// Never is a time that is never reached.
 const Never = monotonic.Time(math.MaxInt64)
 
-// Pacing decides when one gateway polls discovery for changes of the endpoint list. The zero value never polls, as where
-// discovery pushes each change.
+// Pacing decides when one gateway polls discovery for changes of the endpoint list. The zero value never polls. It is
+// used where discovery pushes each change.
 type Pacing struct {
-	required        bool
-	due             bool // a poll is to be made at nextAt; none is in flight
+	enabled         bool
+	scheduled       bool // a poll is scheduled for nextAt and none is in flight
 	nextAt          monotonic.Time
-	failures        int     // since the last answer
-	unansweredShare float64 // the share of the gateways that is without an answer, as far as it is known
+	failures        int     // number of failed polls since the last answer
+	unansweredShare float64 // estimated share of the gateways that get no answer
 }
 
-// NewPacing returns the pacing where discovery has to be polled.
-func NewPacing() Pacing { return Pacing{required: true, due: true} }
+// NewPacing returns the pacing of a gateway that has to poll discovery.
+func NewPacing() Pacing { return Pacing{enabled: true, scheduled: true} }
 
-// Start sets the first poll, at a random moment that is later in larger fleets.
+// Start schedules the first poll at a random time, drawn from a longer interval in larger fleets.
 func (p *Pacing) Start(gateways int, random *seeded.Source, now monotonic.Time) {
-	if p.required {
-		p.nextAt = now + random.Jitter(min(maxFirstPoll, firstPollAlone+time.Duration(gateways-1)*firstPollPerGateway))
+	if p.enabled {
+		p.nextAt = now + random.Jitter(min(maxFirstPoll, firstPollSingleGateway+time.Duration(gateways-1)*firstPollPerGateway))
 	}
 }
 
-// Failed sets the next poll after one that failed, or after a watch that broke, later with each failure.
+// Failed schedules the next poll after a failed poll or a broken watch, with a pause that grows with each failure.
 func (p *Pacing) Failed(random *seeded.Source, now monotonic.Time) {
-	if !p.required {
+	if !p.enabled {
 		return
 	}
 	pause := min(maxBackoff, initialBackoff<<min(p.failures, maxDoublings))
-	pause = max(pause, time.Duration(p.unansweredShare*float64(crowdBackoff)))
+	pause = max(pause, time.Duration(p.unansweredShare*float64(fullOutageBackoff)))
 	p.failures++
-	p.due = true
+	p.scheduled = true
 	p.nextAt = now + pause + random.Jitter(pause)
 }
 
-// Succeeded ends the backoff.
+// Succeeded resets the backoff.
 func (p *Pacing) Succeeded() { p.failures = 0 }
 
-// EstimateUnanswered takes in which share of the gateways polls without an answer.
+// EstimateUnanswered sets the estimated share of the gateways that poll discovery without an answer.
 func (p *Pacing) EstimateUnanswered(share float64) { p.unansweredShare = share }
 
-// Poll reports whether a poll is to be made now, once for each poll, and else the moment at which to ask again.
+// Poll reports whether to make a poll now, and otherwise returns the time at which to call it again, which is Never
+// if no poll is scheduled. It returns true only once for each scheduled poll.
 func (p *Pacing) Poll(now monotonic.Time) (poll bool, next monotonic.Time) {
-	if !p.due {
+	if !p.scheduled {
 		return false, Never
 	}
 	if now < p.nextAt {
 		return false, p.nextAt
 	}
-	p.due = false
+	p.scheduled = false
 	return true, Never
 }
