--- a/decision/discovery/lease.go
+++ b/decision/discovery/lease.go
@@ -13,7 +13,7 @@
 	// are considered notified of the change.
 	ChangeNotifiedWithin = 6 * time.Second
 	// DrainSettleTime is how long an endpoint that is listed as draining may still serve new requests. Half a second
-	// has been observed. A response that arrives earlier does not prove that the endpoint is not draining.
+	// has been observed. A response within this time does not prove that the endpoint is not draining.
 	DrainSettleTime = time.Second
 	// LeaseTTL is how long the list, or an endpoint's proof of readiness, is trusted, counted from the time for which
 	// it was confirmed.
