--- a/decision/admission/quota.go
+++ b/decision/admission/quota.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	quotaDecayNanoseconds = 2e9  // time constant over which a tenant's requests are counted, 2 s
-	minCountedRequests    = 10   // a tenant with no more requests lately is within its quota
-	quotaTolerance        = 1.25 // times its share of the quotas: the share of the requests up to which a tenant is within it
+	quotaDecayNanoseconds = 2e9  // time constant of the decaying count of a tenant's requests, 2 s
+	minCountedRequests    = 10   // a tenant with no more recent requests than this is within its quota
+	quotaTolerance        = 1.25 // a tenant is over quota if its share of requests is more than this many times its share of the quotas
 )
 
-// Tenant is one customer of the deployment, with its quota and its requests lately.
+// Tenant is one customer of the deployment, with its quota and its recent requests.
 type Tenant struct {
-	quotaRate      float64 // requests a second, over all gateways
-	recentRequests float64 // decayed to countedAt
+	quotaRate      float64 // requests per second, over all gateways
+	recentRequests float64 // decaying count as of countedAt
 	countedAt      monotonic.Time
 }
 
-// Quotas compares the tenants' shares of this gateway's requests. A gateway does not know the requests of the others, so
-// it cannot hold a tenant to a rate.
+// Quotas compares the tenants' shares of this gateway's requests with their shares of the quotas. As a gateway does
+// not know the requests at the other gateways, it cannot enforce a rate.
 type Quotas struct{ tenants []*Tenant }
 
-// Add adds a tenant with a quota in requests a second.
+// Add adds a tenant with a quota in requests per second.
 func (q *Quotas) Add(quotaRate float64) { q.tenants = append(q.tenants, &Tenant{quotaRate: quotaRate}) }
 
 // Tenants returns the tenants in the order in which they were added.
 func (q *Quotas) Tenants() []*Tenant { return q.tenants }
 
-// RecordRequest counts a request of a tenant and reports whether the tenant sends more than its quota allows.
+// RecordRequest counts a request of a tenant and reports whether the tenant is over its quota.
 func (q *Quotas) RecordRequest(tenant *Tenant, now monotonic.Time) (overQuota bool) {
-	tenant.recentRequests = tenant.requestsUntil(now) + 1
+	tenant.recentRequests = tenant.decayedRequests(now) + 1
 	tenant.countedAt = now
 	var quotas, recent float64
 	for _, other := range q.tenants {
 		quotas += other.quotaRate
-		recent += other.requestsUntil(now)
+		recent += other.decayedRequests(now)
 	}
 	return tenant.recentRequests > minCountedRequests && tenant.recentRequests/recent > quotaTolerance*tenant.quotaRate/quotas
 }
 
-func (t *Tenant) requestsUntil(now monotonic.Time) float64 {
+// decayedRequests returns the tenant's recent requests, decayed to now.
+func (t *Tenant) decayedRequests(now monotonic.Time) float64 {
 	return t.recentRequests * math.Exp(-float64(now-t.countedAt)/quotaDecayNanoseconds)
 }
--- a/decision/admission/window.go
+++ b/decision/admission/window.go
@@ -9,58 +9,60 @@
 )
 
 const (
-	minCeiling          = 4.0              // attempts in flight that any gateway may have while answers come in time
-	lateAnswerDecrease  = 0.5              // of the window for each late answer of a full endpoint
-	timelyIncrease      = 0.1              // for each other answer: an overload shows in more than one late answer in six
-	floorShare          = 0.05             // of the ceiling: the window's least size
-	minFloor            = 0.4              // attempts: the window's least size at a gateway with few requests
-	objectivesInFlight  = 2                // the ceiling is what is in flight if each attempt takes this many latency objectives
-	arrivalRateConstant = 10 * time.Second // time constant over which the rate of requests is smoothed
+	minCeiling              = 4.0              // attempts in flight allowed at any gateway while answers are timely
+	lateAnswerDecrease      = 0.5              // attempts by which a late answer of a full endpoint shrinks the window
+	timelyAnswerIncrease    = 0.1              // attempts by which another answer widens it: in overload over 1 in 6 answers are late
+	floorShare              = 0.05             // minimum size of the window as a share of the ceiling
+	minFloor                = 0.4              // minimum size of the window in attempts, at a gateway with few requests
+	objectivesInFlight      = 2                // latency objectives that each attempt may take with the window at its ceiling
+	arrivalRateTimeConstant = 10 * time.Second // time constant of the smoothed request rate
 )
 
 // ArrivalRate is the smoothed rate of this gateway's requests.
 type ArrivalRate struct {
 	perSecond  float64 // at recordedAt
 	recordedAt monotonic.Time
-	startedAt  monotonic.Time // of the gateway
+	startedAt  monotonic.Time // start of the gateway
 }
 
-// Start sets the moment from which on requests are counted.
+// Start sets the time from which requests are counted.
 func (r *ArrivalRate) Start(at monotonic.Time) { r.startedAt = at }
 
 // Record counts a request.
 func (r *ArrivalRate) Record(now monotonic.Time) {
-	r.perSecond = r.perSecond*decay.Factor(r.recordedAt, now, arrivalRateConstant) + float64(time.Second)/float64(arrivalRateConstant)
+	r.perSecond = r.perSecond*decay.Factor(r.recordedAt, now, arrivalRateTimeConstant) + float64(time.Second)/float64(arrivalRateTimeConstant)
 	r.recordedAt = now
 }
 
-// PerSecond returns the requests a second over the last seconds, or since the start where that is less.
+// PerSecond returns the requests per second, averaged over the last seconds or over the time since the start if that is
+// shorter.
 func (r *ArrivalRate) PerSecond(now monotonic.Time) float64 {
 	since := max(now-r.startedAt, time.Millisecond)
-	return r.perSecond * decay.Factor(r.recordedAt, now, arrivalRateConstant) / (1 - decay.Factor(0, since, arrivalRateConstant))
+	return r.perSecond * decay.Factor(r.recordedAt, now, arrivalRateTimeConstant) / (1 - decay.Factor(0, since, arrivalRateTimeConstant))
 }
 
-// ConcurrencyWindow bounds how many attempts are in flight at once, at all endpoints. It guards against an overload that
-// hundreds of gateways feed, each with a few attempts at endpoints that have next to none of its own in flight. Slow paths
-// and single endpoints that are slow do not count, nor do attempts that are overdue.
+// ConcurrencyWindow limits how many attempts this gateway has in flight at once, over all endpoints. It guards
+// against an overload caused by hundreds of gateways together, each with only a few attempts in flight and hardly any
+// at the same endpoint. Slow network paths, single slow endpoints and overdue attempts do not count.
 type ConcurrencyWindow struct {
-	size           float64 // attempts; below 1 each is followed by a pause
+	size           float64 // in attempts; below 1, a pause follows each attempt
 	inFlight       int
 	lastFinishedAt monotonic.Time
 }
 
-// NewConcurrencyWindow returns a window that is as large as the requests ask for.
+// NewConcurrencyWindow returns a window of unlimited size. The first call of Allows reduces it to the ceiling.
 func NewConcurrencyWindow() ConcurrencyWindow { return ConcurrencyWindow{size: math.Inf(1)} }
 
-// Demand is what a request asks of the window.
+// Demand describes the load by which the ceiling of the window is set, and the request that asks for an attempt.
 type Demand struct {
 	RequestsPerSecond float64
 	LatencyObjective  time.Duration
-	MeanLatency       float64 // ns; of attempts of its op type
+	MeanLatency       float64 // of attempts of the request's op type, in ns
 }
 
-// Allows reports whether one more attempt may start: the window holds no more than would be in flight if each attempt took
-// twice its latency objective at the present rate of requests, and less once full endpoints answer late.
+// Allows reports whether one more attempt may start. The ceiling of the window is the number of attempts that would
+// be in flight at the present request rate if each took twice its latency objective. The window is smaller than that
+// once full endpoints have answered late.
 func (w *ConcurrencyWindow) Allows(demand Demand, now monotonic.Time) bool {
 	ceiling := objectivesInFlight * demand.RequestsPerSecond * float64(demand.LatencyObjective) / float64(time.Second)
 	w.size = max(minFloor, floorShare*ceiling, min(w.size, max(minCeiling, ceiling)))
@@ -70,17 +72,17 @@
 	return float64(now-w.lastFinishedAt) >= demand.MeanLatency*(1/w.size-1)
 }
 
-// AttemptStarted counts an attempt as in flight.
+// AttemptStarted adds an attempt to those in flight.
 func (w *ConcurrencyWindow) AttemptStarted() { w.inFlight++ }
 
-// AttemptAbandoned counts an attempt as in flight no longer: it has ended, or is not waited for any more.
+// AttemptAbandoned removes an attempt from those in flight: it has ended, or nothing waits for it any more.
 func (w *ConcurrencyWindow) AttemptAbandoned() { w.inFlight-- }
 
-// AttemptFinished takes in when an attempt ended.
+// AttemptFinished records the time at which an attempt ended.
 func (w *ConcurrencyWindow) AttemptFinished(now monotonic.Time) { w.lastFinishedAt = now }
 
-// Increase widens the window for an answer in time.
-func (w *ConcurrencyWindow) Increase() { w.size += timelyIncrease }
+// Increase widens the window after a timely answer.
+func (w *ConcurrencyWindow) Increase() { w.size += timelyAnswerIncrease }
 
-// Decrease narrows the window for a late answer, or none, of an endpoint that is full.
+// Decrease shrinks the window after a late or missing answer of a full endpoint.
 func (w *ConcurrencyWindow) Decrease() { w.size -= lateAnswerDecrease }
