--- a/decision/admission/quota.go
+++ b/decision/admission/quota.go
@@ -7,9 +7,12 @@
 )
 
 const (
-	quotaDecayNanoseconds = 2e9  // time constant of the decaying count of a tenant's requests, 2 s
-	minCountedRequests    = 10   // a tenant with no more recent requests than this is within its quota
-	quotaTolerance        = 1.25 // a tenant is over quota if its share of requests is more than this many times its share of the quotas
+	// quotaDecayNanoseconds is the time constant of the decaying count of a tenant's requests, 2 s.
+	quotaDecayNanoseconds = 2e9
+	// minCountedRequests is the number of recent requests up to which a tenant is always within its quota.
+	minCountedRequests = 10
+	// quotaTolerance is how many times its share of the quotas a tenant's share of the requests may be.
+	quotaTolerance = 1.25
 )
 
 // Tenant is one customer of the deployment, with its quota and its recent requests.
--- a/decision/admission/window.go
+++ b/decision/admission/window.go
@@ -9,13 +9,21 @@
 )
 
 const (
-	minCeiling              = 4.0              // attempts in flight allowed at any gateway while answers are timely
-	lateAnswerDecrease      = 0.5              // attempts by which a late answer of a full endpoint shrinks the window
-	timelyAnswerIncrease    = 0.1              // attempts by which another answer widens it: in overload over 1 in 6 answers are late
-	floorShare              = 0.05             // minimum size of the window as a share of the ceiling
-	minFloor                = 0.4              // minimum size of the window in attempts, at a gateway with few requests
-	objectivesInFlight      = 2                // latency objectives that each attempt may take with the window at its ceiling
-	arrivalRateTimeConstant = 10 * time.Second // time constant of the smoothed request rate
+	// minCeiling is the number of attempts in flight that is allowed at any gateway while answers are timely.
+	minCeiling = 4.0
+	// lateAnswerDecrease is the number of attempts by which each late answer of a full endpoint shrinks the window.
+	lateAnswerDecrease = 0.5
+	// timelyAnswerIncrease is the number of attempts by which each timely answer widens the window. The window shrinks
+	// on balance if more than one answer in six is late, as in an overload.
+	timelyAnswerIncrease = 0.1
+	// floorShare is the minimum size of the window as a share of its ceiling.
+	floorShare = 0.05
+	// minFloor is the minimum size of the window in attempts, at a gateway with few requests.
+	minFloor = 0.4
+	// objectivesInFlight sets the ceiling: the number of attempts in flight if each takes this many latency objectives.
+	objectivesInFlight = 2
+	// arrivalRateTimeConstant is the time constant of the smoothed request rate.
+	arrivalRateTimeConstant = 10 * time.Second
 )
 
 // ArrivalRate is the smoothed rate of this gateway's requests.
