--- a/decision/gossip/assembly.go
+++ b/decision/gossip/assembly.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// maxParts bounds the parts of a view; it fits one byte. A view of more endpoints than that holds is not sent.
+	// maxParts is the maximum number of parts of a view, which fits one byte. A view that needs more parts is not sent.
 	maxParts = 255
-	// maxSenders bounds the views that are assembled at once.
+	// maxSenders is the maximum number of views that are assembled at the same time.
 	maxSenders = 8
 )
 
-// assembly puts the parts of views together. A newer revision of a sender takes the place of its older one, and the first
-// view that is complete that of all others.
+// assembly reassembles views from their parts. A different revision from the same sender replaces its earlier view,
+// and all partial views are discarded once one view is complete.
 type assembly struct {
 	views map[int]*partialView // by sender
 }
 
-// partialView is a view of which some parts have been received.
+// partialView is a view of which only some parts have been received.
 type partialView struct {
 	revision int64
 	parts    int
-	received map[int][]uint32 // the ready incarnations, by part
+	received map[int][]uint32 // ready incarnations by part
 }
 
-// add takes in a part. It returns the incarnations that are ready once all parts have been received, else nil.
+// add adds a part. It returns the ready incarnations once all parts have been received, and nil before that and for an
+// invalid part.
 func (a *assembly) add(sender int, part View) map[uint32]bool {
 	if part.Parts <= 0 || part.Parts > maxParts || part.Part < 0 || part.Part >= part.Parts {
 		return nil
@@ -36,7 +37,7 @@
 	return view.ready()
 }
 
-// view returns the partial view that a part belongs to, which it begins where there is none.
+// view returns the partial view that a part belongs to. It creates one if there is none.
 func (a *assembly) view(sender int, revision int64, parts int) *partialView {
 	view := a.views[sender]
 	if view != nil && view.revision == revision && view.parts == parts {
@@ -53,7 +54,7 @@
 	return view
 }
 
-// ready returns the incarnations of all parts.
+// ready returns the ready incarnations of all parts.
 func (v *partialView) ready() map[uint32]bool {
 	ready := map[uint32]bool{}
 	for _, incarnations := range v.received {
@@ -64,8 +65,8 @@
 	return ready
 }
 
-// SplitView divides a view into parts of a limited number of incarnations each. A view without incarnations is one part;
-// one that needs too many parts is none.
+// SplitView splits a view into parts of at most limit incarnations each. A view without incarnations is a single
+// part. For a view that needs more than maxParts parts SplitView returns nil.
 func SplitView(revision int64, age time.Duration, ready []uint32, limit int) []View {
 	parts := max(1, (len(ready)+limit-1)/limit)
 	if parts > maxParts {
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// peersPerQuery is how many peers are queried at once.
+	// peersPerQuery is the number of peers that are queried at the same time.
 	peersPerQuery = 3
-	// maxFirstQueryDelay bounds the random delay of the first query after discovery was lost.
+	// maxFirstQueryDelay limits the random delay of the first query after discovery was lost.
 	maxFirstQueryDelay = 100 * time.Millisecond
-	// queryInterval is the least time between two queries; up to as much is added at random.
+	// queryInterval is the minimum time between two queries. A random time of up to the same length is added.
 	queryInterval = 500 * time.Millisecond
-	// confirmationTTL is how long an answer of discovery counts as recent. A watch is answered at the latest that long
-	// after its last answer; one that is later may have fallen silent.
+	// confirmationTTL is how long an answer of discovery counts as recent. Discovery answers a watch at most this long
+	// after the previous answer, so a watch that takes longer may have stalled.
 	confirmationTTL = 2800 * time.Millisecond
-	// NewerViewTTL is how long a peer's newer view stands without discovery catching up: it may count from an older
-	// revision again.
+	// NewerViewTTL is how long a peer's newer view is valid if discovery does not catch up with its revision. It is
+	// limited because discovery may have started again from an older revision.
 	NewerViewTTL = 6 * time.Second
-	// initialAge is what the list that a gateway starts with is taken to be old.
-	initialAge = 3600 * time.Second
-	// queryDecay is the time constant over which received queries are counted.
+	// initialListAge is the assumed age of the list that a gateway starts with.
+	initialListAge = 3600 * time.Second
+	// queryDecay is the time constant of the decaying count of received queries.
 	queryDecay = 2 * time.Second
-	// minWait is the least wait between two ticks.
+	// minWait is the minimum wait between two ticks.
 	minWait = time.Millisecond
 )
 
-// Config is what a gateway's exchange is built from.
+// Config configures a gateway's Exchange.
 type Config struct {
-	Rank     int                     // this gateway's rank among all gateways, from 0 on
-	Gateways int                     // how many gateways there are, this one included
-	Revision int64                   // of the endpoint list that the gateway starts with
-	Random   func(limit int64) int64 // a seeded random number from 0 on, below the limit
+	Rank     int                     // this gateway's rank among all gateways, from 0
+	Gateways int                     // number of gateways, including this one
+	Revision int64                   // revision of the endpoint list that the gateway starts with
+	Random   func(limit int64) int64 // returns a seeded random number from 0 to limit-1
 }
 
-// Exchange is one gateway's part in the gossip.
+// Exchange is the gossip state of one gateway.
 type Exchange struct {
 	rank, gateways int
 	random         func(limit int64) int64
 
-	watchEstablished bool           // discovery has answered, and no call has failed since
-	confirmedAt      monotonic.Time // when discovery last answered
-	heldRevision     int64          // the revision of that answer
-	knownRevision    int64          // up to which all drains and removals are known, from discovery or peers
-	knownCurrentAt   monotonic.Time // when that was last known to be current
+	watchEstablished bool           // discovery has answered and no call has failed since
+	confirmedAt      monotonic.Time // time of the last answer of discovery
+	heldRevision     int64          // revision of that answer
+	knownRevision    int64          // revision up to which all drains and removals are known, from discovery or peers
+	knownCurrentAt   monotonic.Time // when knownRevision was last known to be current
 
 	nextQueryAt monotonic.Time
-	newerSource int // a gateway that sent a newer revision than could be taken in, to be queried next, or noGateway
+	newerSource int // gateway to query next, as its newer view was received incompletely, or noGateway
 
 	received queryCounter
 	replies  replySchedule
 	assembly assembly
 }
 
-// NewExchange returns the exchange of a gateway that starts now, without an answer of discovery.
+// NewExchange returns the Exchange of a gateway that starts now and has no answer of discovery yet.
 func NewExchange(config Config, now monotonic.Time) *Exchange {
 	e := &Exchange{
 		rank:           config.Rank,
@@ -63,16 +63,16 @@
 		random:         config.Random,
 		heldRevision:   config.Revision,
 		knownRevision:  config.Revision,
-		knownCurrentAt: now - initialAge,
+		knownCurrentAt: now - initialListAge,
 		newerSource:    noGateway,
 	}
 	e.DiscoveryLost(now)
 	return e
 }
 
-// DiscoveryConfirmed takes in that discovery has answered, with the revision that is held now; full says that it was
-// asked without a revision. It reports whether the list held is current by that: not while a peer's view is of a newer
-// revision, unless discovery counts from an older revision again.
+// DiscoveryConfirmed records an answer of discovery with the revision that is now held. The flag full is set if
+// discovery was asked without a revision. DiscoveryConfirmed reports whether the held list is current. It is not
+// while a peer's view has a newer revision, unless discovery has started again from an older revision.
 func (e *Exchange) DiscoveryConfirmed(revision int64, full bool, now monotonic.Time) bool {
 	e.watchEstablished, e.confirmedAt, e.heldRevision = true, now, revision
 	if revision < e.knownRevision && !full && now-e.knownCurrentAt < NewerViewTTL {
@@ -82,7 +82,7 @@
 	return true
 }
 
-// DiscoveryLost takes in that no watch of discovery is established: a call has failed, or discovery has moved.
+// DiscoveryLost records that no watch of discovery is established, as a call has failed or discovery has moved.
 func (e *Exchange) DiscoveryLost(now monotonic.Time) {
 	if e.watchEstablished || e.nextQueryAt == 0 {
 		e.nextQueryAt = now + e.randomDelay(maxFirstQueryDelay)
@@ -90,26 +90,28 @@
 	e.watchEstablished = false
 }
 
-// confirmedLately reports whether discovery has confirmed the list recently enough to reply to others.
-func (e *Exchange) confirmedLately(now monotonic.Time) bool {
+// recentlyConfirmed reports whether discovery has confirmed the list recently enough to reply to queries.
+func (e *Exchange) recentlyConfirmed(now monotonic.Time) bool {
 	return e.watchEstablished && now-e.confirmedAt <= confirmationTTL
 }
 
-// QueryReceived takes in the query of the gateway of a rank.
+// QueryReceived handles a query of the gateway with the given rank.
 func (e *Exchange) QueryReceived(sender int, query Query, now monotonic.Time) {
 	e.received.add(now)
-	if e.confirmedLately(now) && e.knowsMoreThan(query, now) {
+	if e.recentlyConfirmed(now) && e.canImproveOn(query, now) {
 		e.scheduleReply(sender, e.heldRevision > query.Revision, now)
 	}
 }
 
-// knowsMoreThan reports whether a reply would be worth its while for the sender of a query.
-func (e *Exchange) knowsMoreThan(query Query, now monotonic.Time) bool {
+// canImproveOn reports whether a reply would give the sender of a query a newer revision or a clearly later
+// confirmation.
+func (e *Exchange) canImproveOn(query Query, now monotonic.Time) bool {
 	return e.heldRevision > query.Revision ||
 		e.heldRevision == query.Revision && now-e.confirmedAt+minAgeGain < query.Age
 }
 
-// ViewReceived takes in a view, or a part of one, of the gateway of a rank. It returns what was learned, or nil.
+// ViewReceived handles a view, or a part of one, from the gateway with the given rank. It returns the information
+// gained, or nil if there is none.
 func (e *Exchange) ViewReceived(sender int, view View, now monotonic.Time) *LearnedView {
 	confirmedAt := now - max(view.Age, 0)
 	if view.Revision >= e.heldRevision {
@@ -123,7 +125,7 @@
 		return &LearnedView{Revision: view.Revision, ConfirmedAt: confirmedAt}
 	}
 	ready := e.assembly.add(sender, view)
-	if ready == nil { // parts are missing, or it was meant for others
+	if ready == nil { // parts are missing, or the reply was meant for other gateways
 		e.querySoon(sender, now)
 		return nil
 	}
@@ -131,7 +133,8 @@
 	return &LearnedView{Revision: view.Revision, ConfirmedAt: confirmedAt, Ready: ready}
 }
 
-// querySoon has a gateway queried next that knows of a newer revision, once the rest of its view has had time to arrive.
+// querySoon schedules a query to a gateway that holds a newer revision, after the rest of its view has had time to
+// arrive.
 func (e *Exchange) querySoon(rank int, now monotonic.Time) {
 	if e.newerSource == noGateway {
 		e.nextQueryAt = min(e.nextQueryAt, now+maxReplyDelay+e.randomDelay(maxFirstQueryDelay))
@@ -139,8 +142,8 @@
 	e.newerSource = rank
 }
 
-// UnansweredShare estimates which share of the gateways discovery does not answer at present, from 0 to 1. Each of those
-// queries a few random peers again and again, so that the rate of queries received shows how many they are.
+// UnansweredShare estimates the share of the gateways, from 0 to 1, that discovery does not answer at present. Each
+// of these gateways repeatedly queries a few random peers, so their number follows from the rate of received queries.
 func (e *Exchange) UnansweredShare(now monotonic.Time) float64 {
 	if e.gateways < 2 {
 		return 0
@@ -149,11 +152,11 @@
 	return min(1, e.received.at(now)/(ratePerGateway*float64(queryDecay)))
 }
 
-// Tick returns what is to be sent now, and how long to wait at most for the next tick.
-func (e *Exchange) Tick(now monotonic.Time) (Due, time.Duration) {
-	var due Due
+// Tick returns the messages to send now, and the maximum time until the next call.
+func (e *Exchange) Tick(now monotonic.Time) (Outgoing, time.Duration) {
+	var due Outgoing
 	var wait time.Duration
-	if e.confirmedLately(now) {
+	if e.recentlyConfirmed(now) {
 		wait = e.confirmedAt + confirmationTTL + time.Millisecond - now
 	} else {
 		if now >= e.nextQueryAt {
@@ -168,7 +171,8 @@
 	return due, max(wait, minWait)
 }
 
-// drawRecipients draws a few other gateways, beside the one that is known to hold a newer revision.
+// drawRecipients returns a few random other gateways, preceded by the one that is known to hold a newer revision, if
+// any.
 func (e *Exchange) drawRecipients() []int {
 	var recipients []int
 	if e.newerSource != noGateway {
@@ -185,23 +189,24 @@
 	return recipients
 }
 
-// randomDelay draws whole milliseconds below a limit.
+// randomDelay returns a random delay in whole milliseconds, less than limit.
 func (e *Exchange) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(e.random(int64(limit/time.Millisecond))) * time.Millisecond
 }
 
-// queryCounter counts the queries that were received, each the less the longer ago it was.
+// queryCounter is a count of received queries that decays exponentially over time.
 type queryCounter struct {
 	count     float64
 	countedAt monotonic.Time
 }
 
+// add counts a query that is received now.
 func (c *queryCounter) add(now monotonic.Time) {
 	c.count = c.at(now) + 1
 	c.countedAt = now
 }
 
-// at returns the count as of a moment.
+// at returns the count, decayed to now.
 func (c *queryCounter) at(now monotonic.Time) float64 {
 	return c.count * math.Exp(-float64(now-c.countedAt)/float64(queryDecay))
 }
--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// maxReplyDelay bounds the random delay of a reply, so that the replies of others are received before.
+	// maxReplyDelay limits the random delay of a reply, during which replies of other gateways may be received.
 	maxReplyDelay = 100 * time.Millisecond
-	// broadcastThreshold is how many gateways must have queried within broadcastWindow for a reply to go to all. A
-	// gateway receives only a few of the queries of a whole fleet.
+	// broadcastThreshold is the number of gateways that must have queried within broadcastWindow for a reply to be
+	// sent to all. It is low because a gateway receives only a few of the queries of a whole fleet.
 	broadcastThreshold = 2
 	broadcastWindow    = time.Second
-	// minAgeGain is the least difference of ages for which a reply of the same revision is sent.
+	// minAgeGain is the minimum difference in age for which a reply with the same revision is sent.
 	minAgeGain = 300 * time.Millisecond
-	// replyReuseSpan is how long before a query a reply may have been heard that makes another needless.
+	// replyReuseSpan is how long before a query another gateway's reply may have been received to make a further one
+	// unnecessary.
 	replyReuseSpan = 300 * time.Millisecond
 )
 
-// replySchedule holds the replies that wait to be sent, and what decides on them.
+// replySchedule holds the pending replies, and the queries and replies by which it is decided whether to send them.
 type replySchedule struct {
-	recentQueriers []querier      // the latest, each once, broadcastThreshold at most
-	unicast        []pendingReply // each to one gateway, broadcastThreshold at most
-	broadcast      *pendingReply  // to all gateways, or nil
+	recentQueriers []querier      // the latest distinct queriers, at most broadcastThreshold
+	unicast        []pendingReply // replies to one gateway each, at most broadcastThreshold
+	broadcast      *pendingReply  // reply to all gateways, or nil
 	latest         heardReply
 }
 
@@ -34,23 +35,23 @@
 	queriedAt monotonic.Time
 }
 
-// pendingReply is the reply to a query, or to several, that waits to be sent.
+// pendingReply is a reply to one or more queries that has not been sent yet.
 type pendingReply struct {
 	to           int
-	includeReady bool           // an older revision is held: the ready incarnations are needed
-	queriedAt    monotonic.Time // of the latest query, of those that need the ready incarnations if there are any
+	includeReady bool           // a querier holds an older revision and needs the ready incarnations
+	queriedAt    monotonic.Time // time of the latest query, or of the latest that needs the ready incarnations if any does
 	dueAt        monotonic.Time
 }
 
-// heardReply is a reply that was received, or sent to all.
+// heardReply is a reply that was received from another gateway, or sent to all gateways by this one.
 type heardReply struct {
 	revision      int64
 	heardAt       monotonic.Time
 	includesReady bool
 }
 
-// supersedes reports whether a reply that was heard makes a pending one of a revision needless. Where that is to bring
-// the ready incarnations, one that was heard before the query did not bring them.
+// supersedes reports whether a heard reply makes a pending one with the given revision unnecessary. If the pending
+// reply is to include the ready incarnations, a reply heard before the query did not deliver them to the querier.
 func (h heardReply) supersedes(pending *pendingReply, revision int64) bool {
 	if h.revision < revision {
 		return false
@@ -61,9 +62,9 @@
 	return h.heardAt > pending.queriedAt-replyReuseSpan
 }
 
-// scheduleReply has a reply go to a gateway that has queried, or to all where several have.
+// scheduleReply schedules a reply to a gateway that has queried, or to all gateways if several have queried recently.
 func (e *Exchange) scheduleReply(querier int, includeReady bool, now monotonic.Time) {
-	if e.replies.noteQuerier(querier, now) {
+	if e.replies.recordQuerier(querier, now) {
 		e.scheduleBroadcast(includeReady, now)
 		return
 	}
@@ -78,8 +79,8 @@
 	})
 }
 
-// noteQuerier notes a query, and reports whether several gateways have queried of late.
-func (s *replySchedule) noteQuerier(rank int, now monotonic.Time) bool {
+// recordQuerier records a query, and reports whether broadcastThreshold gateways have queried within broadcastWindow.
+func (s *replySchedule) recordQuerier(rank int, now monotonic.Time) bool {
 	s.recentQueriers = slices.DeleteFunc(s.recentQueriers, func(earlier querier) bool {
 		return earlier.rank == rank || now-earlier.queriedAt >= broadcastWindow
 	})
@@ -90,7 +91,7 @@
 	return len(s.recentQueriers) >= broadcastThreshold
 }
 
-// scheduleBroadcast has a reply go to all gateways, for the present query as well.
+// scheduleBroadcast schedules a reply to all gateways, or extends the pending one to cover the present query.
 func (e *Exchange) scheduleBroadcast(includeReady bool, now monotonic.Time) {
 	if e.replies.broadcast == nil {
 		e.replies.broadcast = &pendingReply{to: AllGateways, dueAt: now + e.randomDelay(maxReplyDelay)}
@@ -101,7 +102,7 @@
 	}
 }
 
-// dueReplies returns the replies that are to be sent by now.
+// dueReplies removes the pending replies whose delay has passed, and returns those that must be sent.
 func (e *Exchange) dueReplies(now monotonic.Time) []Reply {
 	var due []Reply
 	if pending := e.replies.broadcast; pending != nil && now >= pending.dueAt {
@@ -123,9 +124,10 @@
 	return due
 }
 
-// composeReply returns a reply, unless one as good was heard or discovery has not confirmed the list lately.
+// composeReply returns the reply to send for a pending one. It returns false if an equivalent reply was heard, or if
+// discovery has not confirmed the list recently.
 func (e *Exchange) composeReply(pending *pendingReply, now monotonic.Time) (Reply, bool) {
-	if !e.confirmedLately(now) || e.replies.latest.supersedes(pending, e.heldRevision) {
+	if !e.recentlyConfirmed(now) || e.replies.latest.supersedes(pending, e.heldRevision) {
 		return Reply{}, false
 	}
 	return Reply{
@@ -136,7 +138,7 @@
 	}, true
 }
 
-// limitWait returns a wait, cut short by the first reply that is due.
+// limitWait returns the wait, shortened to end when the first pending reply is to be sent.
 func (s *replySchedule) limitWait(wait time.Duration, now monotonic.Time) time.Duration {
 	for _, pending := range s.unicast {
 		wait = min(wait, pending.dueAt-now)
