--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -39,7 +39,7 @@
 type pendingReply struct {
 	to           int
 	includeReady bool           // a querier holds an older revision and needs the ready incarnations
-	queriedAt    monotonic.Time // time of the latest query, or of the latest that needs the ready incarnations if any does
+	queriedAt    monotonic.Time // latest query, or the latest that needs the ready incarnations if any does
 	dueAt        monotonic.Time
 }
 
