--- a/decision/decay/decay.go
+++ b/decision/decay/decay.go
@@ -1,4 +1,4 @@
-// Package decay weighs past figures by their age.
+// Package decay weights past values by their age.
 package decay
 
 import (
@@ -8,7 +8,8 @@
 	"laurelring/decision/monotonic"
 )
 
-// Factor returns the share of a figure of an earlier moment that counts now: 1 at once, 1/e after the time constant.
+// Factor returns the weight that a value recorded at then has at now. The weight decays exponentially, from 1 at then
+// to 1/e after one time constant.
 func Factor(then, now monotonic.Time, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(now-then) / float64(timeConstant))
 }
--- a/decision/monotonic/monotonic.go
+++ b/decision/monotonic/monotonic.go
@@ -1,9 +1,9 @@
-// Package monotonic names moments on a gateway's monotonic clock. The packages that decide read no clock: each call is
-// given the present moment, which never goes back, whatever happens to the wall clock.
+// Package monotonic defines the type of times on a gateway's monotonic clock. The decision packages do not read a
+// clock: the caller passes the present time, which never goes back, even when the wall clock does.
 package monotonic
 
 import "time"
 
-// Time is a moment, as the time since an origin that is arbitrary but the same for one gateway's whole life. It is an
-// alias, so that the difference of two moments is a time.Duration without conversion.
+// Time is the time elapsed since an arbitrary origin, which stays the same for the lifetime of a gateway. It is an
+// alias, so that the difference of two times is a time.Duration without conversion.
 type Time = time.Duration
