--- a/decision/admission/window.go
+++ b/decision/admission/window.go
@@ -61,7 +61,7 @@
 // NewConcurrencyWindow returns a window of unlimited size. The first call of Allows reduces it to the ceiling.
 func NewConcurrencyWindow() ConcurrencyWindow { return ConcurrencyWindow{size: math.Inf(1)} }
 
-// Demand describes the load by which the ceiling of the window is set, and the request that asks for an attempt.
+// Demand is the present request rate and the latency figures of the request for which an attempt is to start.
 type Demand struct {
 	RequestsPerSecond float64
 	LatencyObjective  time.Duration
--- a/decision/discovery/lease.go
+++ b/decision/discovery/lease.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// Suspect limits the remaining validity of the lease. Confirmations and proofs for times up to now no longer renew it.
+// Suspect limits the remaining validity of the lease. Confirmations for times up to now no longer renew it, and
+// proofs of readiness count again only for times later than DrainSettleTime after now.
 func (l *Lease) Suspect(now monotonic.Time, remaining time.Duration) {
 	l.expiresAt = min(l.expiresAt, now+remaining)
 	l.suspectAt = max(l.suspectAt, now)
--- a/decision/gossip/assembly.go
+++ b/decision/gossip/assembly.go
@@ -5,7 +5,8 @@
 const (
 	// maxParts is the maximum number of parts of a view, which fits one byte. A view that needs more parts is not sent.
 	maxParts = 255
-	// maxSenders is the maximum number of views that are assembled at the same time.
+	// maxSenders is the maximum number of views that are assembled at the same time. A part from a further sender
+	// discards them all.
 	maxSenders = 8
 )
 
--- a/decision/gossip/exchange.go
+++ b/decision/gossip/exchange.go
@@ -72,7 +72,8 @@
 
 // DiscoveryConfirmed records an answer of discovery with the revision that is now held. The flag full is set if
 // discovery was asked without a revision. DiscoveryConfirmed reports whether the held list is current. It is not
-// while a peer's view has a newer revision, unless discovery has started again from an older revision.
+// while a peer's view of a newer revision is valid (see NewerViewTTL), unless full is set: discovery may then have
+// started again from an older revision.
 func (e *Exchange) DiscoveryConfirmed(revision int64, full bool, now monotonic.Time) bool {
 	e.watchEstablished, e.confirmedAt, e.heldRevision = true, now, revision
 	if revision < e.knownRevision && !full && now-e.knownCurrentAt < NewerViewTTL {
--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxReplyDelay limits the random delay of a reply, during which replies of other gateways may be received.
+	// maxReplyDelay limits the random delay of a reply, which gives the replies of other gateways time to arrive first.
 	maxReplyDelay = 100 * time.Millisecond
 	// broadcastThreshold is the number of gateways that must have queried within broadcastWindow for a reply to be
 	// sent to all. It is low because a gateway receives only a few of the queries of a whole fleet.
@@ -16,8 +16,7 @@
 	broadcastWindow    = time.Second
 	// minAgeGain is the minimum difference in age for which a reply with the same revision is sent.
 	minAgeGain = 300 * time.Millisecond
-	// replyReuseSpan is how long before a query another gateway's reply may have been received to make a further one
-	// unnecessary.
+	// replyReuseSpan is how long before a query a reply may have been heard to make a further one unnecessary.
 	replyReuseSpan = 300 * time.Millisecond
 )
 
