--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -175,7 +175,7 @@
 	if state.evidence.totalsAtStageStart == nil {
 		state.evidence.totalsAtStageStart = pooled.Clone()
 	}
-	current := rollout.Case{
+	current := rollout.Comparison{
 		Pooled:          pooled,
 		StageStart:      state.evidence.totalsAtStageStart,
 		CostStart:       state.cost.totalsAtStart,
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -142,7 +142,7 @@
 // comparison restarts once enough peers are reporting.
 func (lb *Balancer) updateReporting(isVoter bool, now monotonic.Time) {
 	state, peers, cost := &lb.rollout, &lb.rollout.peers, &lb.rollout.cost
-	peers.reportingPeers = peers.reports.CountedSince(now - evidenceTTL)
+	peers.reportingPeers = peers.reports.ReportingSince(now - evidenceTTL)
 	peers.tooFewReporting = minReportingDenominator*peers.reportingPeers < minReportingNumerator*(lb.gateways-1)
 	if peers.tooFewReporting || !isVoter {
 		peers.tooFewReportingAt, cost.pendingFleetCosts = now, nil // the cost of the fleet in this time is not known
