--- a/internal/transport/descriptor_budget.go
+++ b/internal/transport/descriptor_budget.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// ownDescriptors are for the standard streams (3), the poller (2), the listener, the next client, peers, discovery (2)
+	// reservedDescriptors are for the standard streams (3), the poller (2), the listener, the next client, peers, discovery (2)
 	// and the rollout controller (2), each of the last two while one connection replaces another, and a few for the runtime.
-	ownDescriptors = 16
+	reservedDescriptors = 16
 	// Clients in overflow are beyond the descriptor limit; their requests get their final answer without an attempt. They are
 	// a part of all descriptors, within these bounds: in a crowd the others wait until their places become free.
 	overflowShare      = 0.125
@@ -49,7 +49,7 @@
 // NewDescriptorBudget returns a budget of as many descriptors as the gateway may open in all.
 func NewDescriptorBudget(limit int) *DescriptorBudget {
 	overflow := min(max(int(overflowShare*float64(limit)), minOverflowClients), maxOverflowClients)
-	limit = max(limit-ownDescriptors-overflow, 2)
+	limit = max(limit-reservedDescriptors-overflow, 2)
 	return &DescriptorBudget{limit: limit, overflow: overflow, available: limit}
 }
 
