--- a/internal/transport/accept_shortage.go
+++ b/internal/transport/accept_shortage.go
@@ -6,71 +6,73 @@
 )
 
 const (
-	// longShortage is how long accepting is held up before connections that send nothing get less time.
-	longShortage = 100 * time.Millisecond
-	// shortageGap is the time without a wait after which a shortage is over.
-	shortageGap = 100 * time.Millisecond
-	// shortFirstRequestTime is the time of a connection in overflow for its first request during a long shortage. Those that
-	// are yet to be accepted have waited by then, with what their clients have sent.
-	shortFirstRequestTime = 5 * time.Millisecond
+	// longShortageThreshold is how long a shortage lasts before connections that send nothing get less time.
+	longShortageThreshold = 100 * time.Millisecond
+	// shortageCooldown is the time without a wait after which a shortage is over.
+	shortageCooldown = 100 * time.Millisecond
+	// shortFirstRequestGrace is how long a connection in overflow is kept without a first request during a long
+	// shortage. This is enough: connections accepted then have waited in the accept queue, together with what their
+	// clients have sent.
+	shortFirstRequestGrace = 5 * time.Millisecond
 )
 
-// acceptShortage knows whether accepting is held up because all places beyond the descriptor limit are taken. n connections
-// that send nothing hold it up for longShortage at most and then for shortFirstRequestTime for each as many as have places.
-type acceptShortage struct {
-	mu      sync.Mutex
-	began   time.Time
-	lastEnd time.Time     // when accepting waited last, if it does not wait now
-	waiting chan struct{} // closed while accepting waits
+// slotShortage tracks whether the accept loop is blocked because all slots beyond the descriptor limit are taken. n
+// connections that send nothing block it for at most longShortageThreshold, and after that for shortFirstRequestGrace
+// for each batch of them that fills the overflow slots.
+type slotShortage struct {
+	mu          sync.Mutex
+	startedAt   time.Time     // start of the current or last shortage
+	lastWaitEnd time.Time     // end of the last wait, if the accept loop is not waiting now
+	waiting     chan struct{} // closed while the accept loop waits
 }
 
-func newAcceptShortage() *acceptShortage { return &acceptShortage{waiting: make(chan struct{})} }
+func newSlotShortage() *slotShortage { return &slotShortage{waiting: make(chan struct{})} }
 
-// begin says that accepting waits for a place.
-func (s *acceptShortage) begin() {
+// beginWait records that the accept loop waits for a slot.
+func (s *slotShortage) beginWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.lastEnd) > shortageGap {
-		s.began = now
+	if now.Sub(s.lastWaitEnd) > shortageCooldown {
+		s.startedAt = now
 	}
 	close(s.waiting)
 }
 
-// end says that the wait is over.
-func (s *acceptShortage) end() {
+// endWait records that the accept loop has a slot and no longer waits.
+func (s *slotShortage) endWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastEnd = time.Now()
+	s.lastWaitEnd = time.Now()
 	s.waiting = make(chan struct{})
 }
 
-// held returns a channel that is closed while accepting waits.
-func (s *acceptShortage) held() <-chan struct{} {
+// waitStarted returns a channel that is closed while the accept loop waits.
+func (s *slotShortage) waitStarted() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
 }
 
-// ongoing reports whether accepting waits, or has waited a moment ago.
-func (s *acceptShortage) ongoing() bool {
+// ongoing reports whether the accept loop waits, or waited within the last shortageCooldown.
+func (s *slotShortage) ongoing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isWaiting() || time.Since(s.lastEnd) <= shortageGap
+	return s.isWaiting() || time.Since(s.lastWaitEnd) <= shortageCooldown
 }
 
-// firstRequestTime returns how long a connection in overflow may stay before it has sent anything.
-func (s *acceptShortage) firstRequestTime() time.Duration {
+// firstRequestGrace returns how long a connection in overflow that has sent nothing is kept before it may be closed.
+func (s *slotShortage) firstRequestGrace() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isWaiting() && time.Since(s.began) > longShortage {
-		return shortFirstRequestTime
+	if s.isWaiting() && time.Since(s.startedAt) > longShortageThreshold {
+		return shortFirstRequestGrace
 	}
 	return minIdleBeforeReclaim
 }
 
-// isWaiting reports whether accepting waits. The caller holds the lock.
-func (s *acceptShortage) isWaiting() bool {
+// isWaiting reports whether the accept loop waits. The caller holds mu.
+func (s *slotShortage) isWaiting() bool {
 	select {
 	case <-s.waiting:
 		return true
--- a/internal/transport/client_connection.go
+++ b/internal/transport/client_connection.go
@@ -12,50 +12,51 @@
 	"laurelring/internal/protocol"
 )
 
-// streamConn is what a client's connection needs of its socket.
+// streamConn is the interface to the socket of a client connection.
 type streamConn interface {
 	net.Conn
 	syscall.Conn
 	SetLinger(seconds int) error
 }
 
-// clientInput says what of a client's bytes has been taken off the socket and not been counted as a request.
-type clientInput uint8
+// inputState describes the bytes that have been read from the socket and not yet been counted as a request.
+type inputState uint8
 
 const (
-	inputEmpty    clientInput = iota // nothing
-	inputUnparsed                    // bytes that may hold a whole request
-	inputPartial                     // an incomplete request
+	inputEmpty    inputState = iota // no bytes
+	inputUnparsed                   // bytes that may hold a complete request
+	inputPartial                    // an incomplete request
 )
 
-// clientConnection is one connection of a client. It ends in Close, which alone gives its place back.
+// clientConnection is one connection of a client. Every connection is ended by Close, which alone releases its last
+// slot.
 type clientConnection struct {
 	streamConn
 	rawConn syscall.RawConn
 	server  *ClientServer
 
-	// Only the goroutine that reads the connection touches these.
+	// The fields of this group are used only by the goroutine that reads the connection.
 	buffer       *protocol.Buffer
 	scanner      protocol.RequestScanner
 	handedOver   bool      // redcon has read handoverCommand
-	receivedAt   time.Time // when the last of the bytes read so far came
-	partialSince time.Time // since when an incomplete request has been in the buffer; zero if there is none
+	receivedAt   time.Time // when the last of the bytes read so far arrived
+	partialSince time.Time // since when the buffer has held an incomplete request; zero if it holds none
 	framingLost  bool      // no further request can be read
 
-	// mu is held while bytes are read, too: a connection is either read or closed as idle, and what was read is counted in
-	// input before closing it is decided.
+	// mu is also held while bytes are read from the socket. Reading a connection and closing it as idle thus exclude
+	// each other, and input accounts for all bytes read before it is decided whether to close the connection.
 	mu            sync.Mutex
-	pending       int  // requests read and not yet answered
+	pending       int  // requests read whose responses are not written yet
 	hasRequested  bool // a request has been read
-	input         clientInput
-	lastActive    time.Time // when it got its place or a response was written last
+	input         inputState
+	lastActive    time.Time // when the connection got its slot or a response was last written
 	closing       bool      // no further request is accepted
-	hasDescriptor bool      // it is within the descriptor limit, not in overflow
-	releasePlace  func()    // gives back its descriptor, or its place in overflow
+	hasDescriptor bool      // the connection is within the descriptor limit, not in overflow
+	releaseSlot   func()    // releases the descriptor or the overflow slot of the connection
 	closeOnce     sync.Once
 }
 
-// newClientConnection returns the connection of a client, which has no place yet.
+// newClientConnection returns a client connection that has no slot yet.
 func newClientConnection(conn streamConn, server *ClientServer) (*clientConnection, error) {
 	rawConn, err := conn.SyscallConn()
 	if err != nil {
@@ -65,16 +66,16 @@
 		buffer: protocol.NewBuffer(protocol.MaxRequestSize), lastActive: time.Now()}, nil
 }
 
-// connectionScope says which connections may be closed.
+// connectionScope selects the connections that may be closed.
 type connectionScope uint8
 
 const (
-	withinLimit   connectionScope = 1 << iota // those that hold a descriptor of the budget
-	overflow                                  // those beyond the descriptor limit
+	withinLimit   connectionScope = 1 << iota // connections that hold a descriptor of the budget
+	overflow                                  // connections beyond the descriptor limit
 	anyConnection = withinLimit | overflow
 )
 
-// includes reports whether a connection with or without a descriptor of the budget may be closed.
+// includes reports whether the scope includes connections that hold a descriptor of the budget, or that hold none.
 func (s connectionScope) includes(hasDescriptor bool) bool {
 	if hasDescriptor {
 		return s&withinLimit != 0
@@ -82,12 +83,12 @@
 	return s&overflow != 0
 }
 
-// awaitDescriptor reports whether the connection holds a descriptor of the budget. One in overflow takes one if one is free
-// or becomes free soon, as connections within the limit that have not sent anything may make room; it does not wait while
-// others wait to be accepted.
+// awaitDescriptor reports whether the connection holds a descriptor of the budget. A connection in overflow takes a
+// descriptor that is free or becomes free within minIdleBeforeReclaim, as connections within the limit that have not
+// sent a request may make room. It does not wait while other connections wait to be accepted.
 func (c *clientConnection) awaitDescriptor() bool {
 	s := c.server
-	if c.takeDescriptor() {
+	if c.acquireDescriptor() {
 		return true
 	}
 	retry, limit := time.NewTicker(shortageRetryDelay), time.NewTimer(minIdleBeforeReclaim)
@@ -95,26 +96,26 @@
 	defer limit.Stop()
 	for waiting := true; waiting && !s.shortage.ongoing() && s.hasUnusedConnection(); {
 		select {
-		case <-s.shortage.held():
+		case <-s.shortage.waitStarted():
 		case <-limit.C:
 			waiting = false
 		case <-retry.C:
 		}
-		if c.takeDescriptor() {
+		if c.acquireDescriptor() {
 			return true
 		}
 	}
 	return false
 }
 
-// takeDescriptor reports whether the connection holds a descriptor of the budget. One in overflow takes one if one is free or
-// an idle connection can be closed for it.
-func (c *clientConnection) takeDescriptor() bool {
+// acquireDescriptor reports whether the connection holds a descriptor of the budget. A connection in overflow takes a
+// descriptor if one is free or an idle connection can be closed to free one.
+func (c *clientConnection) acquireDescriptor() bool {
 	if c.holdsDescriptor() {
 		return true
 	}
 	quota := c.server.quota
-	if !quota.acquire() { // not under the lock of a connection: it may close others
+	if !quota.acquire() { // without holding mu, as it may close connections
 		return false
 	}
 	c.mu.Lock()
@@ -123,8 +124,8 @@
 		quota.release()
 		return false
 	}
-	c.releasePlace()
-	c.hasDescriptor, c.releasePlace = true, quota.release
+	c.releaseSlot()
+	c.hasDescriptor, c.releaseSlot = true, quota.release
 	return true
 }
 
@@ -134,8 +135,8 @@
 	return c.hasDescriptor
 }
 
-// beginRequest counts a request that was read. It returns false once the connection is being closed: no further
-// request is accepted then.
+// beginRequest counts a request that was read as pending. It returns false if the connection is being closed, as no
+// further request is accepted then.
 func (c *clientConnection) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +152,8 @@
 	return true
 }
 
-// finishRequest counts a request whose response was written.
+// finishRequest records that the response to a request was written. If the server is draining or the connection is in
+// overflow, it closes the connection if it is idle, or schedules that.
 func (c *clientConnection) finishRequest() {
 	c.mu.Lock()
 	c.pending--
@@ -163,16 +165,16 @@
 	case draining:
 		c.closeIfIdle(0, anyConnection)
 	case hasDescriptor:
-	case c.server.shortage.ongoing(): // its place is wanted
+	case c.server.shortage.ongoing(): // a connection that waits to be accepted needs the slot
 		c.closeIfIdle(0, overflow)
 	default:
-		c.closeIfIdleLater()
+		c.scheduleIdleClose()
 	}
 }
 
-// closeIfIdleLater closes the connection if it is idle after a while, and the server is draining or the connection
-// is in overflow.
-func (c *clientConnection) closeIfIdleLater() {
+// scheduleIdleClose closes the connection after nextRequestWindow, if it has been idle for that long and the server is
+// draining or the connection is in overflow.
+func (c *clientConnection) scheduleIdleClose() {
 	time.AfterFunc(nextRequestWindow, func() {
 		scope := overflow
 		if c.server.isDraining() {
@@ -182,20 +184,22 @@
 	})
 }
 
-// closeIfUnused closes a connection within the limit that has not sent a request for a while since it was accepted.
+// closeIfUnused closes the connection if it is within the limit and has not sent a request for minIdleBeforeReclaim
+// since it was accepted. It reports whether it did.
 func (c *clientConnection) closeIfUnused() bool {
-	return !c.usedBefore() && c.closeIfIdle(minIdleBeforeReclaim, withinLimit)
+	return !c.hasSentRequest() && c.closeIfIdle(minIdleBeforeReclaim, withinLimit)
 }
 
-func (c *clientConnection) usedBefore() bool {
+func (c *clientConnection) hasSentRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasRequested
 }
 
-// closeIfIdle closes the connection if it is within the scope, has no request waiting and has been idle for at least
-// minIdle. One on which bytes wait to be read or have just been read stays, and one on which a request is arriving, unless
-// it would be the first one and descriptors are short.
+// closeIfIdle closes the connection if it is within the scope, has no pending request and has been idle for at least
+// minIdle, and reports whether it did. A connection stays open if bytes wait to be read or have just been read, and if
+// a request is partly received, unless that is its first request and the reason to close it is a shortage of
+// descriptors.
 func (c *clientConnection) closeIfIdle(minIdle time.Duration, scope connectionScope) bool {
 	draining := c.server.isDraining()
 	c.mu.Lock()
@@ -206,7 +210,8 @@
 	case inputPartial:
 		idle = idle && !c.hasRequested && !draining
 	}
-	// A first request, too, may lie in the socket until the session has its turn. Its client would send it again once only.
+	// A first request may also wait in the socket until the session's goroutine runs. Its client would retry it only
+	// once.
 	idle = idle && !c.hasUnreadBytes()
 	c.closing = c.closing || idle
 	c.mu.Unlock()
@@ -223,15 +228,15 @@
 	return true
 }
 
-// hasUnreadBytes reports whether bytes of the client wait to be read.
+// hasUnreadBytes reports whether bytes from the client wait to be read from the socket.
 func (c *clientConnection) hasUnreadBytes() bool {
 	n, err := peekByte(c.rawConn)
 	return err == nil && n > 0
 }
 
-// resetOnClose has the connection end in a reset if the client has acknowledged all responses. A reset proves to a
-// client that a request that it sent meanwhile was not read, so that it may send it again; an orderly end behind a
-// complete request would not. But no reset may overtake a response.
+// resetOnClose makes Close reset the connection if the client has acknowledged all responses. A reset proves to the
+// client that a request that it sent in the meantime was not read, so that it may retry the request. An orderly close
+// after a complete request would not prove that. A reset must not overtake a response that is not acknowledged yet.
 func (c *clientConnection) resetOnClose() {
 	acknowledged := false
 	c.rawConn.Control(func(fd uintptr) {
@@ -243,14 +248,14 @@
 	}
 }
 
-// Close closes the connection and gives its place back, once.
+// Close closes the connection and releases its slot. Further calls do nothing.
 func (c *clientConnection) Close() error {
 	c.closeOnce.Do(func() {
 		c.server.remove(c)
 		c.streamConn.Close()
 		c.mu.Lock()
 		c.closing = true
-		c.releasePlace()
+		c.releaseSlot()
 		c.mu.Unlock()
 	})
 	return nil
--- a/internal/transport/client_listener.go
+++ b/internal/transport/client_listener.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// budgetedListener is the listener that redcon accepts from: its connections count against the descriptor budget.
+// budgetedListener is the listener that redcon accepts from. Its connections count against the descriptor budget.
 type budgetedListener struct {
 	net.Listener
 	server *ClientServer
 }
 
-// Accept waits for a connection of a client. One for which there is no descriptor is accepted beyond the limit, so
-// that its requests get an answer: the kernel has accepted it already, and the client has sent what it has to send.
+// Accept waits for a connection of a client. A connection for which there is no descriptor is accepted beyond the
+// limit, so that its requests get a response: the kernel has already accepted it, and the client has already sent its
+// requests.
 func (l *budgetedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		if err != nil { // the machine is short of some resource: redcon would accept again at once
+		if err != nil { // the system is short of some resource, and redcon would retry without a pause
 			time.Sleep(shortageRetryDelay)
 			continue
 		}
@@ -33,60 +34,62 @@
 	}
 }
 
-// register enters an accepted connection into the table, with a descriptor or in overflow.
+// register adds an accepted connection to the table, once it has a descriptor or an overflow slot.
 func (s *ClientServer) register(conn net.Conn) (*clientConnection, error) {
 	stream, ok := conn.(streamConn)
 	if !ok {
-		return nil, errors.New("not a stream connection of the system")
+		return nil, errors.New("accepted connection is not a stream socket")
 	}
 	c, err := newClientConnection(stream, s)
 	if err != nil {
 		return nil, err
 	}
-	s.awaitPlace(c)
+	s.awaitSlot(c)
 	c.lastActive = time.Now()
 	s.mu.Lock()
 	s.connections = append(s.connections, c)
 	draining := s.draining
 	s.mu.Unlock()
-	// While the server drains, the client may be sending again what it sent as its last connection was closed.
+	// While the server drains, the client may be retrying a request that it sent as its previous connection was closed.
 	if draining || !c.hasDescriptor {
-		c.closeIfIdleLater()
+		c.scheduleIdleClose()
 	}
 	return c, nil
 }
 
-// awaitPlace gives a new connection a descriptor, or a place in overflow. All connections that are yet to be accepted wait
-// behind it, so it waits for none that has sent something: only while each place in overflow is held by a connection whose
-// response is on its way, or by one that has sent nothing and still has its time for that.
-func (s *ClientServer) awaitPlace(c *clientConnection) {
-	if s.takePlace(c) {
+// awaitSlot waits until a new connection has a descriptor or an overflow slot. All connections not yet accepted wait
+// behind it, so connections whose responses are written are closed to make room. It waits only while every overflow
+// slot is held by a connection whose response is pending, or by one that has sent nothing and is within
+// firstRequestGrace.
+func (s *ClientServer) awaitSlot(c *clientConnection) {
+	if s.acquireSlot(c) {
 		return
 	}
-	s.shortage.begin()
-	defer s.shortage.end()
+	s.shortage.beginWait()
+	defer s.shortage.endWait()
 	retry := time.NewTicker(shortageRetryDelay)
 	defer retry.Stop()
-	for !s.takePlace(c) {
+	for !s.acquireSlot(c) {
 		select {
 		case s.overflow <- struct{}{}:
-			c.releasePlace = s.releaseOverflow
+			c.releaseSlot = s.releaseOverflow
 			return
 		case <-retry.C:
 		}
 	}
 }
 
-// takePlace gives a new connection a place if there is one, or an idle connection can be closed for it.
-func (s *ClientServer) takePlace(c *clientConnection) bool {
+// acquireSlot gives a new connection a descriptor or an overflow slot if one is free or an idle connection can be
+// closed to free one, and reports whether it did.
+func (s *ClientServer) acquireSlot(c *clientConnection) bool {
 	if s.quota.acquire() {
-		c.hasDescriptor, c.releasePlace = true, s.quota.release
+		c.hasDescriptor, c.releaseSlot = true, s.quota.release
 		return true
 	}
 	for {
 		select {
 		case s.overflow <- struct{}{}:
-			c.releasePlace = s.releaseOverflow
+			c.releaseSlot = s.releaseOverflow
 			return true
 		default:
 		}
@@ -98,13 +101,14 @@
 
 func (s *ClientServer) releaseOverflow() { <-s.overflow }
 
-// closeIdleInOverflow closes a connection beyond the descriptor limit that has had its answers, or that has not sent a
-// request for a while, and reports whether there was one. The first request of a new one may still be on its way.
+// closeIdleInOverflow closes a connection beyond the descriptor limit that has received its responses, or that has not
+// sent a request within firstRequestGrace, and reports whether it closed one. The grace period is needed because the
+// first request of a new connection may still be on its way.
 func (s *ClientServer) closeIdleInOverflow() bool {
-	firstRequestTime := s.shortage.firstRequestTime()
+	grace := s.shortage.firstRequestGrace()
 	for _, other := range s.snapshot() {
-		minIdle := firstRequestTime
-		if other.usedBefore() {
+		minIdle := grace
+		if other.hasSentRequest() {
 			minIdle = 0
 		}
 		if other.closeIfIdle(minIdle, overflow) {
--- a/internal/transport/client_reader.go
+++ b/internal/transport/client_reader.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// requestTimeout is the time until a connection has sent its first complete request, and until any request is
-	// complete from its first byte on.
+	// requestTimeout is the time within which a connection must send its first complete request, and within which any
+	// request must be complete after its first byte.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout is the time between two requests of a connection: some clients send one and stay.
+	// idleTimeout is the longest time between two requests of a connection. Some clients send one request and keep the
+	// connection open.
 	idleTimeout = 2 * time.Second
-	// maxDiscardedBytes are read and dropped once the framing is lost, to see the client disconnect.
+	// maxDiscardedBytes is how many bytes are read and dropped after the framing is lost, to detect a disconnect.
 	maxDiscardedBytes = 1 << 20
 )
 
-// malformedRequestError says why what a client sent is not a request. The text reaches the client.
+// malformedRequestError says why the input from a client is not a valid request. Its text is sent to the client.
 type malformedRequestError string
 
 const (
@@ -35,14 +36,15 @@
 // Error returns the text for the client.
 func (e malformedRequestError) Error() string { return string(e) }
 
-// errRequestIncomplete says that the buffer does not hold a complete request yet.
+// errRequestIncomplete means that the buffer does not hold a complete request yet.
 var errRequestIncomplete = errors.New("request incomplete")
 
-// handoverCommand is what redcon reads first on each connection: its handler is takeOver.
+// handoverCommand is the command that redcon reads first on each connection. Its handler is detachFromRedcon.
 var handoverCommand = []byte("*1\r\n$5\r\nBEGIN\r\n")
 
-// Read gives redcon handoverCommand and nothing behind it: the connection's session reads the socket by itself.
-// redcon so lets go of its own buffers at once, which it would keep at their largest size while a connection is open.
+// Read gives redcon handoverCommand and then the end of the stream, as the connection's session reads the socket
+// itself. redcon thus releases its own buffers at once, which it would otherwise keep at their largest size while a
+// connection is open.
 func (c *clientConnection) Read(p []byte) (int, error) {
 	if c.handedOver {
 		return 0, io.EOF
@@ -51,8 +53,8 @@
 	return copy(p, handoverCommand), nil
 }
 
-// readRequest waits for the next request. A malformedRequestError says what is wrong with what came in its place;
-// any other error, that the connection was closed by the client or by the gateway.
+// readRequest waits for the next request. A malformedRequestError says what is wrong with the input received instead of
+// a request. Any other error means that the connection was closed by the client or by the gateway.
 func (c *clientConnection) readRequest() (redcon.Command, error) {
 	for {
 		command, err := c.parseBuffered()
@@ -66,14 +68,15 @@
 			c.framingLost, err = true, errRequestTimeout
 		}
 		c.partialSince = time.Time{}
-		if !c.beginRequest() { // it arrived while the connection was being closed
+		if !c.beginRequest() { // the request arrived while the connection was being closed
 			return redcon.Command{}, io.EOF
 		}
 		return command, err
 	}
 }
 
-// parseBuffered takes the next complete request off the buffer.
+// parseBuffered removes the next complete request from the buffer and returns it. It returns
+// errRequestIncomplete if the buffer holds none.
 func (c *clientConnection) parseBuffered() (redcon.Command, error) {
 	size, tooLarge, err := c.scanner.Next(c.buffer)
 	switch {
@@ -95,12 +98,12 @@
 	return command, nil
 }
 
-// receive reads what has arrived into the buffer, or waits until the read deadline, which is no error.
+// receive waits for bytes and reads them into the buffer. Reaching the read deadline before any arrive is not an error.
 func (c *clientConnection) receive() error {
-	room, n := c.buffer.Space(), 0
+	space, n := c.buffer.Space(), 0
 	var err error
 	waitErr := c.rawConn.Read(func(fd uintptr) (done bool) {
-		n, err = c.readSocket(fd, room)
+		n, err = c.readSocket(fd, space)
 		return err != unix.EAGAIN
 	})
 	switch {
@@ -117,25 +120,26 @@
 	return nil
 }
 
-// readSocket takes bytes off the socket under the lock under which closing is decided. Once the connection is being closed
-// none are taken: the reset that ends it then tells the client that they were not read.
-func (c *clientConnection) readSocket(fd uintptr, room []byte) (n int, err error) {
+// readSocket reads bytes from the socket while it holds mu, as closeIfIdle does to decide whether to close. Once the
+// connection is being closed it reads none, so that the reset tells the client that they were not read.
+func (c *clientConnection) readSocket(fd uintptr, space []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return 0, net.ErrClosed
 	}
-	n, err = retryInterrupted(func() (int, error) { return unix.Read(int(fd), room) })
+	n, err = retryInterrupted(func() (int, error) { return unix.Read(int(fd), space) })
 	if n > 0 {
 		c.input = inputUnparsed
-		c.receivedAt = time.Now().Add(-sinceLastData(fd))
+		c.receivedAt = time.Now().Add(-timeSinceLastData(fd))
 	}
 	return n, err
 }
 
-// setReadDeadline sets until when the next bytes are waited for: an incomplete request is complete after
-// requestTimeout, and so is the first one; another begins within idleTimeout. A connection that stays idle for longer
-// is closed here. It returns false if an incomplete request has timed out.
+// setReadDeadline sets the deadline for the next bytes. An incomplete request must be complete within requestTimeout of
+// its first byte, the first request within requestTimeout of the connection's start, and a further request must begin
+// within idleTimeout. A connection that stays idle for longer is closed here. It returns false if an incomplete request
+// has timed out.
 func (c *clientConnection) setReadDeadline() bool {
 	now := time.Now()
 	if len(c.buffer.Bytes()) > 0 || c.scanner.Started() {
@@ -160,7 +164,8 @@
 	return true
 }
 
-// setPartialDeadline sets until when an incomplete request is waited for, and returns false once that has passed.
+// setPartialDeadline sets the read deadline for the rest of an incomplete request, and returns false once it has
+// passed.
 func (c *clientConnection) setPartialDeadline(now time.Time) bool {
 	if c.partialSince.IsZero() {
 		c.partialSince = now
@@ -173,15 +178,15 @@
 	return now.Before(deadline)
 }
 
-// awaitDisconnect discards what arrives once the framing is lost, and reports whether the client closed the
-// connection, rather than the gateway or nobody.
+// awaitDisconnect discards the input after the framing is lost, and reports whether the client closed the connection.
+// It returns false if the gateway closed it, or the client kept it open and sent maxDiscardedBytes.
 func (c *clientConnection) awaitDisconnect() bool {
 	c.SetReadDeadline(time.Time{})
 	n, err := io.CopyN(io.Discard, c.streamConn, maxDiscardedBytes)
 	return n < maxDiscardedBytes && !errors.Is(err, net.ErrClosed)
 }
 
-// isTimeout reports whether a read ended at its deadline.
+// isTimeout reports whether err means that a read reached its deadline.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/transport/client_server.go
+++ b/internal/transport/client_server.go
@@ -15,52 +15,53 @@
 )
 
 const (
-	// shortageRetryDelay is the pause before an operation that failed for want of a descriptor is tried again.
+	// shortageRetryDelay is the pause before the retry of an operation that failed for lack of a descriptor.
 	shortageRetryDelay = 5 * time.Millisecond
-	// nextRequestWindow is the time within which an active client sends its next request. During shutdown a
-	// connection stays open for as long, for a last one.
+	// nextRequestWindow is the time within which an active client sends its next request. During shutdown a connection
+	// stays open for that long, to receive a last request.
 	nextRequestWindow = 300 * time.Millisecond
-	// minIdleBeforeReclaim is for how long a connection has been idle before it may be closed to make room.
+	// minIdleBeforeReclaim is how long a connection must have been idle before it may be closed to make room.
 	minIdleBeforeReclaim = 50 * time.Millisecond
-	// idleConnectionShare is the part of all descriptors beyond which the connections that have been idle longest are
-	// closed, every idleSweepInterval: some clients send one request and stay, and would keep others out.
+	// idleConnectionShare is the share of the descriptor limit beyond which the connections that have been idle longest
+	// are closed, every idleSweepInterval. Some clients send one request and keep the connection open, and would
+	// otherwise keep other clients out.
 	idleConnectionShare = 0.2
 	idleSweepInterval   = 50 * time.Millisecond
 )
 
-// ClientServer accepts connections of clients, reads their requests and writes the responses.
+// ClientServer accepts connections from clients, reads their requests and writes the responses.
 type ClientServer struct {
 	quota        *descriptorQuota
 	log          *RateLimitedLog
-	requestBytes *semaphore.Weighted // of the requests that wait for their responses
+	requestBytes *semaphore.Weighted // bounds the total size of the requests that wait for their responses
 	maxRemaining time.Duration
 	overflow     chan struct{} // holds one element for each connection beyond the descriptor limit
-	shortage     *acceptShortage
-	maxIdle      int // connections that have sent a request and may stay open idle
+	shortage     *slotShortage
+	maxIdle      int // how many connections that have sent a request may stay open
 	opTypes      map[string]*decision.OpType
 	onRequest    func(request protocol.Request, response *PendingResponse)
 	onDisconnect func(response *PendingResponse)
 
 	mu          sync.Mutex
-	connections []*clientConnection // the one that has been idle longest first
+	connections []*clientConnection // longest idle first
 	draining    bool
 }
 
-// ClientServerConfig is what a ClientServer needs. All fields are required.
+// ClientServerConfig is the configuration of a ClientServer. All fields are required.
 type ClientServerConfig struct {
 	Budget *DescriptorBudget
 	Log    *RateLimitedLog
-	// MaxRequestBytes bounds the requests that wait for their responses, over all connections; beyond it
-	// connections are read later.
+	// MaxRequestBytes bounds the total size of the requests that wait for their responses, over all connections. Beyond
+	// it, connections are not read until responses have been written.
 	MaxRequestBytes int64
-	// MaxRemaining bounds the time until the deadline that a client may state; a longer one is cut to it.
+	// MaxRemaining is the longest time until the deadline that a client may state. A longer time is reduced to it.
 	MaxRemaining time.Duration
-	// OpTypes are the op types by command and name as a request states them.
+	// OpTypes maps a command and the name of an op type, as a request states them, to the op type.
 	OpTypes map[string]*decision.OpType
-	// OnRequest is called for each well-formed request, in the order of its connection. It may block, which
-	// holds up that connection alone.
+	// OnRequest is called for each well-formed request, in the order of the requests on a connection. It may block,
+	// which delays only that connection.
 	OnRequest func(request protocol.Request, response *PendingResponse)
-	// OnDisconnect is called for each request whose client disconnected before its response.
+	// OnDisconnect is called for each request whose client disconnected before the response was available.
 	OnDisconnect func(response *PendingResponse)
 }
 
@@ -71,12 +72,12 @@
 	case c.MaxRequestBytes < 0 || c.MaxRemaining < 0:
 		return errors.New("client server limits must not be negative")
 	case c.OnRequest == nil || c.OnDisconnect == nil:
-		return errors.New("client server needs its callbacks")
+		return errors.New("client server needs the callbacks OnRequest and OnDisconnect")
 	}
 	return nil
 }
 
-// NewClientServer returns a server that accepts connections once Serve is called. It fails where a field of its
+// NewClientServer returns a server that accepts connections once Serve is called. It fails if a field of its
 // configuration is missing or negative.
 func NewClientServer(config ClientServerConfig) (*ClientServer, error) {
 	if err := config.validate(); err != nil {
@@ -87,7 +88,7 @@
 		requestBytes: semaphore.NewWeighted(config.MaxRequestBytes),
 		maxRemaining: config.MaxRemaining,
 		overflow:     make(chan struct{}, config.Budget.overflow),
-		shortage:     newAcceptShortage(),
+		shortage:     newSlotShortage(),
 		maxIdle:      int(idleConnectionShare * float64(config.Budget.limit)),
 		opTypes:      config.OpTypes,
 		onRequest:    config.OnRequest,
@@ -112,32 +113,32 @@
 			}
 		}
 	}()
-	return redcon.Serve(&budgetedListener{listener, s}, s.takeOver, nil, nil)
+	return redcon.Serve(&budgetedListener{listener, s}, s.detachFromRedcon, nil, nil)
 }
 
-// takeOver detaches a connection from redcon, so that a client that disconnects is seen while its request is being
-// worked on, and a listener that closes does not close the connections with it.
-func (s *ClientServer) takeOver(conn redcon.Conn, _ redcon.Command) {
+// detachFromRedcon detaches a connection from redcon and starts its session. A client's disconnect is thus detected
+// while its request is being processed, and closing the listener does not close the connections.
+func (s *ClientServer) detachFromRedcon(conn redcon.Conn, _ redcon.Command) {
 	c := conn.NetConn().(*clientConnection)
 	conn.Detach()
 	go newClientSession(c).readRequests()
 }
 
-// Drain closes each connection once it has no request waiting. New connections are served all the same: a client
-// sends again what it sent while its connection was being closed.
+// Drain closes each connection once it has no pending request. New connections are still served, as a client retries a
+// request that it sent while its connection was being closed.
 func (s *ClientServer) Drain() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 	for _, c := range s.snapshot() {
-		if !c.closeIfIdle(nextRequestWindow, anyConnection) { // a new one may still send its first request
-			c.closeIfIdleLater()
+		if !c.closeIfIdle(nextRequestWindow, anyConnection) { // a new connection may still send its first request
+			c.scheduleIdleClose()
 		}
 	}
 }
 
-// AwaitDisconnects waits until all connections are closed and none was accepted for a while, but for the timeout at
-// most, and returns how many are left.
+// AwaitDisconnects waits until all connections are closed and none has been accepted for nextRequestWindow, or until
+// the timeout has passed. It returns the number of connections that are still open.
 func (s *ClientServer) AwaitDisconnects(timeout time.Duration) int {
 	started := time.Now()
 	for lastConnected := started; ; time.Sleep(shortageRetryDelay) {
@@ -153,16 +154,17 @@
 	}
 }
 
-// closeExcessIdle closes those of the connections that have sent a request that have been idle longest, where more
-// than maxIdle are open.
+// closeExcessIdle closes the longest idle of the connections that have sent a request, if more than maxIdle of them are
+// open.
 func (s *ClientServer) closeExcessIdle() {
-	used := slices.DeleteFunc(s.snapshot(), func(c *clientConnection) bool { return !c.usedBefore() })
+	used := slices.DeleteFunc(s.snapshot(), func(c *clientConnection) bool { return !c.hasSentRequest() })
 	for _, c := range used[:max(0, len(used)-s.maxIdle)] {
 		c.closeIfIdle(minIdleBeforeReclaim, withinLimit)
 	}
 }
 
-// closeIdle closes a connection that has not sent anything yet, or else the one that has been idle longest.
+// closeIdle closes a connection within the limit that has not sent a request yet, or else the one that has been idle
+// longest. It reports whether it closed one.
 func (s *ClientServer) closeIdle() bool {
 	all := s.snapshot()
 	return slices.ContainsFunc(all, (*clientConnection).closeIfUnused) ||
@@ -171,8 +173,8 @@
 		})
 }
 
-// hasUnusedConnection reports whether some connections within the limit have not sent a request yet: they will make
-// room soon, as they send one or are closed.
+// hasUnusedConnection reports whether any connection within the limit has not sent a request yet. Such a connection
+// makes room soon, as it either sends a request or is closed.
 func (s *ClientServer) hasUnusedConnection() bool {
 	return slices.ContainsFunc(s.snapshot(), func(c *clientConnection) bool {
 		c.mu.Lock()
@@ -181,14 +183,14 @@
 	})
 }
 
-// snapshot returns the open connections, the one that has been idle longest first.
+// snapshot returns the open connections, longest idle first.
 func (s *ClientServer) snapshot() []*clientConnection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.connections)
 }
 
-// remove takes a connection off the table.
+// remove removes a connection from the table.
 func (s *ClientServer) remove(c *clientConnection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,8 +199,8 @@
 	}
 }
 
-// markActive makes a connection the one that has been idle for the shortest time, and reports whether the server
-// is draining.
+// markActive moves a connection to the end of the table, as the most recently active one, and reports whether the
+// server is draining.
 func (s *ClientServer) markActive(c *clientConnection) (draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/descriptor_budget.go
+++ b/internal/transport/descriptor_budget.go
@@ -55,8 +55,8 @@
 
 // addQuota adds an owner that may use a part of the budget, from 0 to 1. It is called before any descriptor is
 // acquired.
-func (b *DescriptorBudget) addQuota(owner idleCloser, part float64) *descriptorQuota {
-	q := &descriptorQuota{budget: b, owner: owner, limit: max(1, int(part*float64(b.limit)))}
+func (b *DescriptorBudget) addQuota(owner idleCloser, share float64) *descriptorQuota {
+	q := &descriptorQuota{budget: b, owner: owner, limit: max(1, int(share*float64(b.limit)))}
 	b.quotas = append(b.quotas, q)
 	return q
 }
--- a/internal/transport/rate_limited_log.go
+++ b/internal/transport/rate_limited_log.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// repeatInterval is the shortest time between two lines of one message.
-const repeatInterval = 5 * time.Second
+// minRepeatInterval is the shortest time between two lines of one message.
+const minRepeatInterval = 5 * time.Second
 
 // RateLimitedLog logs malformed input of others, each message once in a while at most: the peer decides how often it
 // occurs. The zero value is ready for use.
@@ -25,7 +25,7 @@
 	if l.loggedAt == nil {
 		l.loggedAt, l.suppressed = map[string]time.Time{}, map[string]int{}
 	}
-	if now.Sub(l.loggedAt[message]) < repeatInterval {
+	if now.Sub(l.loggedAt[message]) < minRepeatInterval {
 		l.suppressed[message]++
 		return
 	}
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// sinceLastData returns how long ago the last data came on a TCP connection, in whole milliseconds. It is 0 where the system
+// timeSinceLastData returns how long ago the last data came on a TCP connection, in whole milliseconds. It is 0 where the system
 // does not tell.
-func sinceLastData(fd uintptr) time.Duration {
+func timeSinceLastData(fd uintptr) time.Duration {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.SOL_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
