--- a/internal/transport/client_listener.go
+++ b/internal/transport/client_listener.go
@@ -105,9 +105,9 @@
 // sent a request within firstRequestGrace, and reports whether it closed one. The grace period is needed because the
 // first request of a new connection may still be on its way.
 func (s *ClientServer) closeIdleInOverflow() bool {
-	grace := s.shortage.firstRequestGrace()
+	firstRequestGrace := s.shortage.firstRequestGrace()
 	for _, other := range s.snapshot() {
-		minIdle := grace
+		minIdle := firstRequestGrace
 		if other.hasSentRequest() {
 			minIdle = 0
 		}
--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxPipelinedRequests = 32              // of one connection that wait for their responses
-	responseWriteTimeout = 5 * time.Second // a client that does not read its responses is cut off
-	// malformedRequestDelay is the pause before a connection is read again after a malformed request, so that a
-	// client that sends the same again and again costs little.
+	maxPipelinedRequests = 32              // limit on the requests of one connection that wait for their responses
+	responseWriteTimeout = 5 * time.Second // after it a client that does not read its responses is disconnected
+	// malformedRequestDelay is the pause before a connection is read again after a malformed request. It limits the
+	// cost of a client that keeps sending malformed requests.
 	malformedRequestDelay = 100 * time.Millisecond
 )
 
@@ -26,16 +26,16 @@
 	commandPing  = "PING"
 )
 
-// clientSession serves one connection with two goroutines: its reader passes requests on and sees the client
-// disconnect; its writer, from the first request on, writes the responses in the order of the requests.
+// clientSession serves one connection with two goroutines. The reader passes requests on and detects that the client
+// disconnects. The writer, started with the first request, writes the responses in the order of the requests.
 type clientSession struct {
 	connection   *clientConnection
 	responses    chan *PendingResponse
 	disconnected chan struct{} // closed when the client has disconnected
 	writerDone   chan struct{} // closed when no more responses are written
 
-	// Only the reader touches these.
-	unanswered    []*PendingResponse
+	// The fields of this group are used only by the reader.
+	unanswered    []*PendingResponse // enqueued responses, of which completed ones are removed later
 	writerStarted bool
 }
 
@@ -44,9 +44,9 @@
 		disconnected: make(chan struct{}), writerDone: make(chan struct{})}
 }
 
-// readRequests passes the client's requests on, in their order. A malformed request is answered at once, and the
-// connection read on later. A connection that loses its framing, or sends too many requests at once, is read no
-// more: it gets the responses that it is owed, and is closed.
+// readRequests passes the client's requests on in order. A malformed request is answered at once, and the connection is
+// read again after malformedRequestDelay. A connection that loses its framing, or sends more than maxPipelinedRequests
+// at once, is not read any further: its outstanding responses are written, and it is closed.
 func (s *clientSession) readRequests() {
 	c := s.connection
 	for !c.framingLost {
@@ -73,7 +73,7 @@
 	s.finishReading()
 }
 
-// startWriter starts the writer with the first request.
+// startWriter starts the writer when the first request has been read.
 func (s *clientSession) startWriter() {
 	if !s.writerStarted {
 		s.writerStarted = true
@@ -81,8 +81,8 @@
 	}
 }
 
-// enqueueResponse adds the response to a request to those that the writer is to write. It waits while the requests
-// of all connections take too much memory: as responses are written, room becomes free.
+// enqueueResponse adds the response to a request to the writer's queue. It blocks while the pending requests of all
+// connections exceed the memory limit. Writing responses frees memory.
 func (s *clientSession) enqueueResponse(requestBytes int) *PendingResponse {
 	response := newPendingResponse(requestBytes)
 	available := s.connection.server.requestBytes
@@ -96,13 +96,13 @@
 	return response
 }
 
-// finishReading ends the session from the reader's side, once no further request is read. If the client has
-// disconnected it reports each request without a response.
+// finishReading ends the session on the reader's side, once no further request is read. If the client has disconnected,
+// it reports each request that has no response yet to onDisconnect.
 func (s *clientSession) finishReading() {
 	c := s.connection
 	close(s.responses)
 	if c.framingLost && !c.awaitDisconnect() {
-		return // the client has got the responses that it was owed, or goes on sending without end
+		return // the connection was closed after its last response, or the client sends without end
 	}
 	close(s.disconnected)
 	if !s.writerStarted {
@@ -115,8 +115,9 @@
 	}
 }
 
-// dispatch passes a request on, or returns what is wrong with it. One for whose connection there is no descriptor
-// has no time left: it gets its final response without an attempt. A request's time runs from the reading of its last byte.
+// dispatch passes a request on, or returns an error that says what is wrong with it. A request whose connection gets no
+// descriptor has no time left, so that it gets its final response without an attempt. A request's time runs from the
+// arrival of its last byte, as recorded when it was read.
 func (s *ClientServer) dispatch(command redcon.Command, response *PendingResponse, c *clientConnection) error {
 	switch string(command.Args[0]) {
 	case commandRead, commandWrite:
@@ -138,19 +139,20 @@
 	return nil
 }
 
-// rejectMalformed responds to what is not a request with the error's text.
+// rejectMalformed responds to a malformed request with the text of err, and logs it.
 func (s *ClientServer) rejectMalformed(response *PendingResponse, err error) {
 	response.complete(redcon.AppendError(nil, "ERR "+err.Error()))
 	s.log.Warn("malformed request from client", "error", err)
 }
 
-// writeResponses writes the responses until the client has disconnected or does not read them.
+// writeResponses writes the responses until the reader has closed the queue and all are written, or until the client
+// disconnects or does not read them.
 func (s *clientSession) writeResponses() {
 	available := s.connection.server.requestBytes
 	defer func() {
 		close(s.writerDone)
 		s.connection.Close()
-		for response := range s.responses { // until the reader has met the end
+		for response := range s.responses { // until the reader has closed the queue
 			available.Release(response.requestBytes)
 		}
 	}()
@@ -164,8 +166,8 @@
 	}
 }
 
-// writeResponse waits for a response and writes it. It returns false if the client disconnected before, or did not
-// read it.
+// writeResponse waits for a response and writes it. It returns false if the client disconnected before that, or did not
+// read the response within responseWriteTimeout.
 func (s *clientSession) writeResponse(response *PendingResponse) bool {
 	select {
 	case <-response.done:
--- a/internal/transport/pending_response.go
+++ b/internal/transport/pending_response.go
@@ -10,30 +10,30 @@
 	"laurelring/internal/protocol"
 )
 
-// PendingResponse is the response to one request, from the moment the request is read. The first of its methods that
-// is called decides it; none of them blocks, and each may be called from any goroutine.
+// PendingResponse is the response to one request, created when the request is read. The first call of Respond, Reject
+// or Fail sets the response, and further calls do nothing. No method blocks, and each may be called from any goroutine.
 type PendingResponse struct {
 	once         sync.Once
 	done         chan struct{} // closed when payload is set
 	payload      net.Buffers
-	requestBytes int64 // size of its request
+	requestBytes int64 // size of the request
 }
 
 func newPendingResponse(requestBytes int) *PendingResponse {
 	return &PendingResponse{done: make(chan struct{}), requestBytes: int64(requestBytes)}
 }
 
-// Respond responds with the value that an endpoint gave.
+// Respond responds with the value that an endpoint returned.
 func (r *PendingResponse) Respond(value []byte) {
 	r.complete(protocol.BulkStringHeader(len(value)), value, protocol.BulkStringEnd)
 }
 
-// Reject responds that the request did not run and may be sent again, after the given time if it is not 0.
+// Reject responds that the request was not executed and may be retried, after the given time if that is not 0.
 func (r *PendingResponse) Reject(after time.Duration) {
 	r.complete(redcon.AppendError(nil, protocol.RejectedMessage(after)))
 }
 
-// Fail responds that the request may have run or not.
+// Fail responds that the request may or may not have been executed.
 func (r *PendingResponse) Fail() { r.complete(redcon.AppendError(nil, protocol.FailedMessage)) }
 
 func (r *PendingResponse) complete(parts ...[]byte) {
--- a/internal/transport/rate_limited_log.go
+++ b/internal/transport/rate_limited_log.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// minRepeatInterval is the shortest time between two lines of one message.
+// minRepeatInterval is the shortest time between two log lines with the same message.
 const minRepeatInterval = 5 * time.Second
 
-// RateLimitedLog logs malformed input of others, each message once in a while at most: the peer decides how often it
-// occurs. The zero value is ready for use.
+// RateLimitedLog logs malformed input from other programs, each message at most once per minRepeatInterval, because the
+// sender decides how often it occurs. The zero value is ready for use.
 type RateLimitedLog struct {
 	mu         sync.Mutex
-	loggedAt   map[string]time.Time
-	suppressed map[string]int // calls by message since the last line
+	loggedAt   map[string]time.Time // time of the last line by message
+	suppressed map[string]int       // calls since the last line by message
 }
 
-// Warn logs a message with its attributes, and how many like it were suppressed since the last.
+// Warn logs a message with its attributes and the number of calls with the same message suppressed since its last line.
 func (l *RateLimitedLog) Warn(message string, attributes ...any) {
 	now := time.Now()
 	l.mu.Lock()
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// peekByte looks whether a byte waits on a connection without reading it. It returns 1 if one does, 0 at the end of
-// the stream, and an error otherwise: unix.EAGAIN if nothing waits.
+// peekByte checks whether a byte waits to be read on a connection, and leaves it unread. It returns 1 if a byte waits,
+// 0 at the end of the stream, and an error otherwise: unix.EAGAIN if nothing waits.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -19,7 +19,7 @@
 	return n, err
 }
 
-// retryInterrupted makes a system call until it is not interrupted by a signal.
+// retryInterrupted repeats a system call for as long as it is interrupted by a signal.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for {
 		if n, err = call(); err != unix.EINTR {
@@ -28,8 +28,8 @@
 	}
 }
 
-// timeSinceLastData returns how long ago the last data came on a TCP connection, in whole milliseconds. It is 0 where the system
-// does not tell.
+// timeSinceLastData returns how long ago data last arrived on a TCP connection, in whole milliseconds. It returns 0 if
+// the system does not report it.
 func timeSinceLastData(fd uintptr) time.Duration {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.SOL_TCP, unix.TCP_INFO)
 	if err != nil {
