--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -35,7 +35,7 @@
 	writerDone   chan struct{} // closed when no more responses are written
 
 	// The fields of this group are used only by the reader.
-	unanswered    []*PendingResponse // enqueued responses, of which completed ones are removed later
+	unanswered    []*PendingResponse // enqueued responses; complete ones are removed with the next request
 	writerStarted bool
 }
 
