--- a/internal/transport/controller_connection.go
+++ b/internal/transport/controller_connection.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// silenceTimeout is the longest time without any line; the controller sends a heartbeat every second.
-	silenceTimeout = 3500 * time.Millisecond
+	// heartbeatTimeout is the longest time without any line; the controller sends a heartbeat every second.
+	heartbeatTimeout = 3500 * time.Millisecond
 	// lineTimeout is the time from the first byte of a line until it is complete. A longer one is taken as lost.
 	lineTimeout = 500 * time.Millisecond
 	// oldAddressGrace is for how long answers to votes are awaited on a connection once the address has changed.
@@ -21,19 +21,19 @@
 	timeoutCheckInterval = 50 * time.Millisecond
 )
 
-// errSilent says that the rollout controller sent nothing within silenceTimeout.
-var errSilent = errors.New("no heartbeat")
+// errNoHeartbeat says that the rollout controller sent nothing within silenceTimeout.
+var errNoHeartbeat = errors.New("no heartbeat")
 
 // controllerConnection is one connection to the rollout controller while RolloutClient.serve uses it.
 type controllerConnection struct {
-	client   *RolloutClient
-	address  string
-	conn     net.Conn
-	listenID int               // of the call to listen
-	lastLine time.Time         // when a line arrived last
-	pending  []pendingVote     // in the order in which they were cast
-	votes    <-chan queuedVote // nil once the address has changed
-	closeAt  time.Time         // set once the address has changed
+	client     *RolloutClient
+	address    string
+	conn       net.Conn
+	listenID   int               // of the call to listen
+	lastLineAt time.Time         // when a line arrived last
+	pending    []pendingVote     // in the order in which they were cast
+	votes      <-chan queuedVote // nil once the address has changed
+	closeAt    time.Time         // set once the address has changed
 }
 
 // pendingVote is a vote whose answer is awaited.
@@ -44,17 +44,17 @@
 
 // serve receives statuses and casts votes on one connection until it is lost or silent. It returns nil where it was
 // closed because the address has changed or the context has ended.
-func (c *RolloutClient) serve(ctx context.Context, address string, conn *observedConn) error {
+func (c *RolloutClient) serve(ctx context.Context, address string, conn *trackedConn) error {
 	connection := &controllerConnection{client: c, address: address, conn: conn, votes: c.votes}
 	defer connection.close()
-	lines, broken, done := make(chan []byte), make(chan error, 1), make(chan struct{})
+	lines, readFailed, done := make(chan []byte), make(chan error, 1), make(chan struct{})
 	defer close(done)
-	go readLines(conn, lines, broken, done)
+	go readLines(conn, lines, readFailed, done)
 	if err := connection.listen(); err != nil {
 		return err
 	}
-	check := time.NewTicker(timeoutCheckInterval)
-	defer check.Stop()
+	checkTicker := time.NewTicker(timeoutCheckInterval)
+	defer checkTicker.Stop()
 	for !connection.isDrained() {
 		select {
 		case <-c.addressChanged:
@@ -70,15 +70,15 @@
 			if err := connection.cast(vote); err != nil {
 				return err
 			}
-		case now := <-check.C:
+		case now := <-checkTicker.C:
 			connection.expireVotes(now)
 			if connection.votes == nil && now.After(connection.closeAt) {
 				return nil
 			}
-			if now.Sub(connection.lastLine) > silenceTimeout {
-				return errSilent
+			if now.Sub(connection.lastLineAt) > heartbeatTimeout {
+				return errNoHeartbeat
 			}
-		case err := <-broken:
+		case err := <-readFailed:
 			return err
 		case <-ctx.Done():
 			return nil
@@ -94,7 +94,7 @@
 	if _, err := c.conn.Write(protocol.EncodeListen(c.listenID)); err != nil {
 		return err
 	}
-	c.lastLine = time.Now()
+	c.lastLineAt = time.Now()
 	return nil
 }
 
@@ -108,7 +108,7 @@
 
 // handleLine passes on what one line of the controller says. A line of no known kind is an error.
 func (c *controllerConnection) handleLine(line []byte) error {
-	c.lastLine = time.Now()
+	c.lastLineAt = time.Now()
 	return protocol.ParseControllerLine(line, protocol.ControllerEvents{
 		Status:   c.client.config.OnStatus,
 		Answered: c.handleAnswer,
@@ -167,7 +167,7 @@
 
 // readLines passes complete lines on until the connection ends, a line is not complete in time, or done is closed. After the
 // last complete line of a read it passes nil on: once that is taken, the lines before it are handled.
-func readLines(conn *observedConn, lines chan<- []byte, broken chan<- error, done <-chan struct{}) {
+func readLines(conn *trackedConn, lines chan<- []byte, readFailed chan<- error, done <-chan struct{}) {
 	buffer := protocol.NewBuffer(protocol.MaxLineSize)
 	for {
 		n, err := conn.Read(buffer.Space())
@@ -180,15 +180,15 @@
 			if line == nil {
 				break
 			}
-			if !passLine(append([]byte(nil), line...), lines, done) {
+			if !sendLine(append([]byte(nil), line...), lines, done) {
 				return
 			}
 		}
-		if !passLine(nil, lines, done) {
+		if !sendLine(nil, lines, done) {
 			return
 		}
 		if err != nil {
-			broken <- err
+			readFailed <- err
 			return
 		}
 		deadline := time.Time{} // none between two lines: serve sees the silence
@@ -201,8 +201,8 @@
 	}
 }
 
-// passLine passes a line on and reports whether it was taken, which it is not once done is closed.
-func passLine(line []byte, lines chan<- []byte, done <-chan struct{}) (taken bool) {
+// sendLine passes a line on and reports whether it was taken, which it is not once done is closed.
+func sendLine(line []byte, lines chan<- []byte, done <-chan struct{}) (received bool) {
 	select {
 	case lines <- line:
 		return true
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -40,16 +40,16 @@
 	client   *http.Client
 	maxWait  time.Duration
 	watching atomic.Bool
-	conn     atomic.Pointer[observedConn] // the one opened last, nil before the first
+	conn     atomic.Pointer[trackedConn] // the one opened last, nil before the first
 
 	// Only the goroutine of the watch touches these.
 	revision    int64 // of the last list that OnList accepted
 	requestFull bool  // the next poll asks for the full list: discovery answered with one older than the one held
 
-	mu         sync.Mutex
-	address    string
-	moves      int                // how often the address has changed
-	cancelPoll context.CancelFunc // ends the present poll
+	mu             sync.Mutex
+	address        string
+	addressChanges int                // how often the address has changed
+	cancelPoll     context.CancelFunc // ends the present poll
 }
 
 // DiscoveryClientConfig is what a DiscoveryClient needs. All fields but Revision are required. The callbacks are
@@ -109,19 +109,19 @@
 	if err != nil {
 		return nil, err
 	}
-	observed, err := observe(conn)
+	tracked, err := trackInput(conn)
 	if err != nil {
 		return nil, err
 	}
-	c.conn.Store(observed)
-	return observed, nil
+	c.conn.Store(tracked)
+	return tracked, nil
 }
 
 // HasUnhandled reports whether discovery has sent something that OnList or OnFailure has not been given yet. It does not
 // wait.
 func (c *DiscoveryClient) HasUnhandled() bool {
 	conn := c.conn.Load()
-	return conn != nil && conn.hasUnhandled()
+	return conn != nil && conn.hasUnhandledInput()
 }
 
 // markHandled says that what discovery has sent so far was handled.
@@ -169,7 +169,7 @@
 		return false
 	}
 	c.address = address
-	c.moves++
+	c.addressChanges++
 	c.cancelPoll()
 	return true
 }
@@ -194,32 +194,32 @@
 func (c *DiscoveryClient) pollCurrentAddress(ctx context.Context, first bool) (addressChanged bool, err error) {
 	pollCtx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
-	address, moves := c.address, c.moves
+	address, addressChanges := c.address, c.addressChanges
 	c.cancelPoll = cancel
 	c.mu.Unlock()
 	started := time.Now()
-	listStarted, err := c.poll(pollCtx, cancel, address, first)
+	responseStarted, err := c.poll(pollCtx, cancel, address, first)
 	cancel()
 	if err != nil {
-		err = &protocol.CallError{Revision: c.revision, Duration: time.Since(started), ResponseStarted: listStarted, Err: err}
+		err = &protocol.CallError{Revision: c.revision, Duration: time.Since(started), ResponseStarted: responseStarted, Err: err}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.moves != moves, err
+	return c.addressChanges != addressChanges, err
 }
 
 // poll makes one long poll and handles its list. It reports whether a list had started to arrive that was not taken
 // over. A response that starts and stalls is given up soon, as its connection may stay open for ever; one that makes
 // progress, if slowly, as to a gateway short of processor time, is read until the timeout of the whole poll. cancel
 // ends the poll; to call it after that does nothing.
-func (c *DiscoveryClient) poll(ctx context.Context, cancel context.CancelFunc, address string, first bool) (listStarted bool, err error) {
+func (c *DiscoveryClient) poll(ctx context.Context, cancel context.CancelFunc, address string, first bool) (responseStarted bool, err error) {
 	var responding atomic.Bool
 	wait := c.maxWait - c.config.Random.Duration(c.maxWait/waitJitterDivisor)
-	stalled := time.AfterFunc(wait+responseGrace, cancel)
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(wait+responseGrace, cancel)
+	defer stallTimer.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
 		responding.Store(true)
-		stalled.Reset(responseStallTimeout)
+		stallTimer.Reset(responseStallTimeout)
 	}})
 	if first {
 		wait = firstPollWait
@@ -239,7 +239,7 @@
 		return false, fmt.Errorf("discovery responded with status %s", response.Status)
 	}
 	c.config.OnListStart()
-	return c.readList(&progressReader{response.Body, stalled}, full)
+	return c.readList(&progressReader{response.Body, stallTimer}, full)
 }
 
 // listURL is the URL of a poll: of the full list at once, or of what changed after the revision.
@@ -253,7 +253,7 @@
 
 // readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
 // another reason than its revision.
-func (c *DiscoveryClient) readList(body io.Reader, full bool) (notTaken bool, err error) {
+func (c *DiscoveryClient) readList(body io.Reader, full bool) (listLost bool, err error) {
 	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListSize))
 	if err != nil {
 		return true, err
@@ -270,13 +270,13 @@
 // progressReader postpones the end of a poll with each read of its response.
 type progressReader struct {
 	io.Reader
-	stalled *time.Timer
+	stallTimer *time.Timer
 }
 
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 && err == nil {
-		r.stalled.Reset(responseStallTimeout)
+		r.stallTimer.Reset(responseStallTimeout)
 	}
 	return n, err
 }
--- a/internal/transport/endpoint_connection.go
+++ b/internal/transport/endpoint_connection.go
@@ -16,14 +16,16 @@
 	"laurelring/internal/protocol"
 )
 
-// maxDecisionAge is how long after the reading of the clock on which it was decided an attempt may go out. A later one was
-// decided on a state that is past, as when the process stalled; deadlines and graces allow for a stall this short.
+// maxDecisionAge is the maximum time between the clock reading at which an attempt was decided and its first byte. A
+// later attempt would rest on outdated state, for example after the process stalled. Deadlines and grace periods allow
+// for a stall of this length.
 const maxDecisionAge = 150 * time.Millisecond
 
-// maxSendSpan is how long after the last look at the time the first byte of an attempt may go out: graces allow for that.
-const maxSendSpan = 150 * time.Millisecond
+// maxSendDelay is the maximum time between the last clock reading before the first byte of an attempt and its write.
+// Grace periods allow for this delay. An attempt that exceeds it is reported as sent late.
+const maxSendDelay = 150 * time.Millisecond
 
-// endpointConnection is one connection to an endpoint. It ends in close, which alone gives its descriptor back.
+// endpointConnection is one connection to an endpoint. Only close ends it and releases its descriptor.
 type endpointConnection struct {
 	pool     *EndpointPool
 	address  string
@@ -31,27 +33,28 @@
 	conn     *net.TCPConn
 	rawConn  syscall.RawConn
 
-	// mu is held while bytes are read, too: what arrived before an attempt began is no part of its response.
+	// mu is also held while bytes are read, so that bytes that arrived before an attempt began are not taken for part of
+	// its response.
 	mu        sync.Mutex
-	attempt   *Attempt // whose response is awaited
+	attempt   *Attempt // the attempt whose response is awaited, nil if there is none
 	writing   bool     // the attempt's request is being written
 	closed    bool
-	unusable  bool      // its end, or bytes that belong to no response, were read: no attempt may begin on it
-	idleSince time.Time // guarded by the lock of the pool
+	unusable  bool      // end of stream or bytes outside a response were read; no attempt may begin on the connection
+	idleSince time.Time // guarded by the pool's lock
 }
 
-// sendFirst sends the attempt for which the connection was established, once that has been decided again.
+// sendFirst waits until the attempt for which the connection was established has been decided again, and sends it.
 func (c *endpointConnection) sendFirst(attempt *Attempt) {
 	attempt.awaitDecision(attempt.request.Deadline - c.pool.clock())
 	c.send(attempt, false)
 }
 
-// send writes an attempt's request. Until the last byte is written the request can't have run. A reused connection
-// that has ended meanwhile, or on which anything has arrived since its last response, is replaced by a new one, as
-// long as nothing was written.
+// send writes an attempt's request. Until the last byte is written the request cannot have run. As long as nothing was
+// written, a reused connection is replaced by a new one if it has ended, or if anything has arrived on it since its
+// last response.
 func (c *endpointConnection) send(attempt *Attempt, reused bool) {
 	if !c.assign(attempt, reused) {
-		c.close("ended or received bytes while idle")
+		c.close("connection ended or bytes arrived while idle")
 		c.resend(attempt, reused)
 		return
 	}
@@ -87,21 +90,23 @@
 	}
 }
 
-// errTooLate says that an attempt was decided too long ago, or its time is over, and nothing of it was written.
-var errTooLate = errors.New("too late to be sent")
+// errTooLate is returned by write if an attempt was decided too long ago or its deadline has passed. Nothing was
+// written then.
+var errTooLate = errors.New("attempt not sent: its decision is too old or its deadline has passed")
 
-// write writes an attempt's request and returns how many bytes the kernel took. It reports the attempt as sent late where the
-// process was held up between the last look at the time and the end of the write: no program can rule that out.
+// write writes an attempt's request and returns the number of bytes that the kernel accepted. It reports the attempt as
+// sent late if the process was delayed between the last clock reading before the first write and the end of that write,
+// which no program can rule out.
 func (c *endpointConnection) write(attempt *Attempt, request []byte) (written int, err error) {
 	latestStart := attempt.latestStart()
-	var lookedAt, startedAt monotonic.Time
+	var checkedAt, writtenAt monotonic.Time
 	for written < len(request) {
 		n := 0
 		waitErr := c.rawConn.Write(func(fd uintptr) (done bool) {
 			n, err = retryInterrupted(func() (int, error) {
-				// The process may stall at any point, so the system call follows right behind this last look at the time.
+				// The process may stall at any point, so the system call directly follows this last reading of the clock.
 				if written == 0 {
-					if lookedAt = c.pool.clock(); lookedAt > latestStart {
+					if checkedAt = c.pool.clock(); checkedAt > latestStart {
 						return 0, errTooLate
 					}
 				}
@@ -110,38 +115,38 @@
 			return err != unix.EAGAIN
 		})
 		if written == 0 {
-			startedAt = c.pool.clock()
+			writtenAt = c.pool.clock()
 		}
 		if err = errors.Join(waitErr, err); err != nil {
 			return written, err
 		}
 		written += n
 	}
-	if span := startedAt - lookedAt; span > maxSendSpan {
-		attempt.request.SentLate(span)
+	if delay := writtenAt - checkedAt; delay > maxSendDelay {
+		attempt.request.SentLate(delay)
 	}
 	return written, nil
 }
 
-// assign makes an attempt the one whose response is awaited. It returns false if the connection is of no use: it is
-// closed, or it was reused and its end or any byte is waiting to be read.
+// assign makes the attempt the one whose response is awaited. It returns false if the connection cannot be used: it is
+// closed, its reader has marked it unusable, or it is reused and end of stream or any byte is waiting to be read.
 func (c *endpointConnection) assign(attempt *Attempt, reused bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.unusable || reused && !c.isQuiet() {
+	if c.closed || c.unusable || reused && !c.hasNoInput() {
 		return false
 	}
 	c.attempt, c.writing = attempt, true
 	return true
 }
 
-// isQuiet reports whether the connection is open and nothing waits to be read.
-func (c *endpointConnection) isQuiet() bool {
+// hasNoInput reports whether the connection is open and has nothing to read.
+func (c *endpointConnection) hasNoInput() bool {
 	_, err := peekByte(c.rawConn)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// returnUnused makes the connection of an attempt that was given up before it started available to another.
+// returnUnused makes the connection available to other attempts after its attempt ended before any byte was written.
 func (c *endpointConnection) returnUnused() {
 	c.mu.Lock()
 	c.attempt, c.writing = nil, false
@@ -149,8 +154,8 @@
 	c.pool.putIdle(c)
 }
 
-// resend opens a new connection for an attempt of which nothing was written on a reused one. On a new one the attempt
-// has failed.
+// resend sends an attempt on a new connection after nothing of it was written on a reused one. If the connection was
+// not reused, the attempt fails.
 func (c *endpointConnection) resend(attempt *Attempt, reused bool) {
 	if !attempt.markNotStarted() {
 		return
@@ -162,13 +167,13 @@
 	}
 }
 
-// readResponses reads responses until the connection ends or is of no further use. Nothing may arrive but the response
-// to the attempt in flight.
+// readResponses reads responses until the connection ends or becomes unusable, and closes it. Only the response to the
+// attempt in flight may arrive.
 func (c *endpointConnection) readResponses() {
 	c.close(c.readUntilUnusable())
 }
 
-// readUntilUnusable returns why the connection can't be used any longer.
+// readUntilUnusable reads responses until the connection cannot be used any longer, and returns the reason.
 func (c *endpointConnection) readUntilUnusable() (reason string) {
 	buffer, reader := protocol.NewBuffer(protocol.MaxResponseSize), protocol.ResponseReader{}
 	for {
@@ -187,12 +192,12 @@
 	}
 }
 
-// receive waits for bytes and reads them. It returns the attempt that was in flight at that moment: a second response
-// that comes late must not be taken for the response to an attempt that begins as it is read.
-func (c *endpointConnection) receive(room []byte) (n int, attempt *Attempt, err error) {
+// receive waits for bytes and reads them. It returns the attempt that was in flight when they were read, so that a late
+// second response is not taken for the response to an attempt that begins at the same time.
+func (c *endpointConnection) receive(buffer []byte) (n int, attempt *Attempt, err error) {
 	readErr := c.rawConn.Read(func(fd uintptr) bool {
 		c.mu.Lock()
-		n, err = retryInterrupted(func() (int, error) { return unix.Read(int(fd), room) })
+		n, err = retryInterrupted(func() (int, error) { return unix.Read(int(fd), buffer) })
 		notReady := err == unix.EAGAIN
 		attempt = c.attempt
 		c.unusable = c.unusable || attempt == nil && !notReady
@@ -210,7 +215,7 @@
 	return n, attempt, nil
 }
 
-// handleBytes parses what has arrived for an attempt, and reports whether the connection is still of use.
+// handleBytes parses the bytes that have arrived for an attempt, and reports whether the connection is still usable.
 func (c *endpointConnection) handleBytes(attempt *Attempt, buffer *protocol.Buffer, reader *protocol.ResponseReader) bool {
 	if attempt == nil {
 		c.pool.log.Warn("unexpected bytes from endpoint", "address", c.address)
@@ -219,7 +224,7 @@
 	response, complete, err := reader.Next(buffer)
 	if err != nil {
 		c.pool.log.Warn("malformed response from endpoint", "address", c.address)
-		// The request may have run, and the endpoint is there.
+		// The request may have run, and the endpoint is reachable.
 		response, complete = protocol.Response{Outcome: decision.OutcomeError}, true
 	}
 	if !complete {
@@ -230,20 +235,20 @@
 	writing := c.writing
 	c.attempt = nil
 	c.mu.Unlock()
-	first := attempt.markFinished() // before the connection serves another attempt
+	wasPending := attempt.markFinished() // before the connection is made available to another attempt
 	switch {
 	case !wellFormed:
 		c.close("malformed response")
 	case !writing:
 		c.pool.putIdle(c)
 	}
-	if first {
+	if wasPending {
 		attempt.request.Finished(response)
 	}
 	return wellFormed
 }
 
-// close ends the connection and the attempt in flight on it, and gives its descriptor back. The reason is logged.
+// close closes the connection, ends the attempt in flight on it, and releases its descriptor. The reason is logged.
 func (c *endpointConnection) close(reason string) {
 	c.mu.Lock()
 	wasClosed, attempt, writing := c.closed, c.attempt, c.writing
@@ -256,7 +261,7 @@
 	c.pool.forgetIdle(c)
 	c.conn.Close()
 	c.pool.quota.release()
-	// While the request is being written, send reports the outcome: it knows whether the last byte went out.
+	// While the request is being written, send reports the outcome, as it knows whether the last byte was written.
 	if attempt != nil && !writing {
 		attempt.finish(decision.OutcomeConnectionLost)
 	}
--- a/internal/transport/endpoint_pool.go
+++ b/internal/transport/endpoint_pool.go
@@ -148,14 +148,14 @@
 
 // removeIdle takes a connection off the idle ones and reports whether it was one. The caller holds the lock.
 func (p *EndpointPool) removeIdle(c *endpointConnection) bool {
-	at := slices.Index(p.idleOldestFirst, c)
-	if at < 0 {
+	index := slices.Index(p.idleOldestFirst, c)
+	if index < 0 {
 		return false
 	}
-	p.idleOldestFirst = slices.Delete(p.idleOldestFirst, at, at+1)
+	p.idleOldestFirst = slices.Delete(p.idleOldestFirst, index, index+1)
 	sameAddress := p.idleByAddress[c.address]
-	at = slices.Index(sameAddress, c)
-	p.idleByAddress[c.address] = slices.Delete(sameAddress, at, at+1)
+	index = slices.Index(sameAddress, c)
+	p.idleByAddress[c.address] = slices.Delete(sameAddress, index, index+1)
 	if len(sameAddress) == 1 {
 		delete(p.idleByAddress, c.address)
 	}
--- a/internal/transport/observed_conn.go
+++ b/internal/transport/observed_conn.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// observedConn is a connection that knows whether anything was sent on it that its reader has not handled yet: bytes that
+// trackedConn is a connection that knows whether anything was sent on it that its reader has not handled yet: bytes that
 // wait to be read, or that were read since the reader last called markHandled.
-type observedConn struct {
+type trackedConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
@@ -20,8 +20,8 @@
 	unhandled bool
 }
 
-// observe wraps a connection, which it closes where it cannot.
-func observe(conn net.Conn) (*observedConn, error) {
+// trackInput wraps a connection, which it closes where it cannot.
+func trackInput(conn net.Conn) (*trackedConn, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		conn.Close()
@@ -32,11 +32,11 @@
 		conn.Close()
 		return nil, err
 	}
-	return &observedConn{TCPConn: tcp, raw: raw}, nil
+	return &trackedConn{TCPConn: tcp, raw: raw}, nil
 }
 
 // Read reads as the connection itself does.
-func (c *observedConn) Read(p []byte) (n int, err error) {
+func (c *trackedConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
@@ -59,15 +59,15 @@
 }
 
 // markHandled says that all that was read so far is handled. Only the reader may call it.
-func (c *observedConn) markHandled() {
+func (c *trackedConn) markHandled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unhandled = false
 }
 
-// hasUnhandled reports whether something that was sent on the connection, its end included, is not handled yet. A closed
+// hasUnhandledInput reports whether something that was sent on the connection, its end included, is not handled yet. A closed
 // connection has nothing.
-func (c *observedConn) hasUnhandled() bool {
+func (c *trackedConn) hasUnhandledInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unhandled {
--- a/internal/transport/peer_socket.go
+++ b/internal/transport/peer_socket.go
@@ -67,13 +67,13 @@
 // Send sends a datagram to the gateway of a number, or to all where the number is below 0. It does not wait. A datagram is
 // dropped that is too long, for a number of no gateway, or not written soon after it was decided: what it says, ages among
 // it, is of that moment.
-func (p *PeerSocket) Send(number int, payload []byte, decidedAt monotonic.Time) {
-	if len(payload) > protocol.MaxDatagramSize || number >= len(p.peers) {
+func (p *PeerSocket) Send(rank int, payload []byte, decidedAt monotonic.Time) {
+	if len(payload) > protocol.MaxDatagramSize || rank >= len(p.peers) {
 		return
 	}
 	receivers := p.peers
-	if number >= 0 {
-		receivers = p.peers[number : number+1]
+	if rank >= 0 {
+		receivers = p.peers[rank : rank+1]
 	} else if p.broadcast.IsValid() {
 		receivers = []netip.AddrPort{p.broadcast}
 	}
@@ -90,10 +90,10 @@
 func (p *PeerSocket) Run(onDatagram func(from int, payload []byte), log *RateLimitedLog) {
 	done := make(chan struct{})
 	defer close(done)
-	go p.sendUntil(done)
-	numbers := map[netip.AddrPort]int{}
+	go p.sendOutgoing(done)
+	ranks := map[netip.AddrPort]int{}
 	for i, address := range p.peers {
-		numbers[address] = i
+		ranks[address] = i
 	}
 	buffer := make([]byte, protocol.MaxDatagramSize+1) // one byte more, to see that a datagram is too long
 	for {
@@ -106,21 +106,21 @@
 			time.Sleep(shortageRetryDelay) // the machine may be short of some resource for a while
 			continue
 		}
-		number, known := numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		rank, known := ranks[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
 		if !known || n > protocol.MaxDatagramSize {
 			log.Warn("peer datagram rejected", "peer", sender)
 			continue
 		}
-		onDatagram(number, append([]byte(nil), buffer[:n]...))
+		onDatagram(rank, append([]byte(nil), buffer[:n]...))
 	}
 }
 
-func (p *PeerSocket) sendUntil(done <-chan struct{}) {
+func (p *PeerSocket) sendOutgoing(done <-chan struct{}) {
 	for {
 		select {
-		case one := <-p.outgoing:
-			if p.clock()-one.decidedAt <= maxDecisionAge {
-				p.conn.WriteToUDPAddrPort(one.payload, one.to) // a failed write is a lost datagram
+		case d := <-p.outgoing:
+			if p.clock()-d.decidedAt <= maxDecisionAge {
+				p.conn.WriteToUDPAddrPort(d.payload, d.to) // a failed write is a lost datagram
 			}
 		case <-done:
 			return
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -31,8 +31,8 @@
 type RolloutClient struct {
 	config         RolloutClientConfig
 	votes          chan queuedVote
-	addressChanged chan struct{}                // holds one element once the address has changed
-	conn           atomic.Pointer[observedConn] // the one opened last, nil before the first
+	addressChanged chan struct{}               // holds one element once the address has changed
+	conn           atomic.Pointer[trackedConn] // the one opened last, nil before the first
 
 	// Only Run's goroutine touches these.
 	lastCallID         int
@@ -133,7 +133,7 @@
 		address := c.currentAddress()
 		conn, err := (&net.Dialer{Timeout: controllerConnectTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
-			err = c.observeAndServe(ctx, address, conn)
+			err = c.trackAndServe(ctx, address, conn)
 		}
 		if err == nil || c.lastAnsweredListen >= listenID {
 			delay = minReconnectDelay
@@ -147,21 +147,21 @@
 	}
 }
 
-// observeAndServe uses a connection whose unread bytes HasUnhandled sees.
-func (c *RolloutClient) observeAndServe(ctx context.Context, address string, conn net.Conn) error {
-	observed, err := observe(conn)
+// trackAndServe uses a connection whose unread bytes HasUnhandled sees.
+func (c *RolloutClient) trackAndServe(ctx context.Context, address string, conn net.Conn) error {
+	tracked, err := trackInput(conn)
 	if err != nil {
 		return err
 	}
-	c.conn.Store(observed)
-	defer observed.markHandled() // nothing of it will be: it is closed by then
-	return c.serve(ctx, address, observed)
+	c.conn.Store(tracked)
+	defer tracked.markHandled() // nothing of it will be: it is closed by then
+	return c.serve(ctx, address, tracked)
 }
 
 // HasUnhandled reports whether the controller has sent something that OnStatus has not been given yet. It does not wait.
 func (c *RolloutClient) HasUnhandled() bool {
 	conn := c.conn.Load()
-	return conn != nil && conn.hasUnhandled()
+	return conn != nil && conn.hasUnhandledInput()
 }
 
 // waitToReconnect waits before the next connection, unless the address changes. Votes fail meanwhile.
