--- a/internal/transport/controller_connection.go
+++ b/internal/transport/controller_connection.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// heartbeatTimeout is the longest time without any line; the controller sends a heartbeat every second.
+	// heartbeatTimeout is the maximum time without any line, after which the connection is closed. The controller sends a
+	// heartbeat every second.
 	heartbeatTimeout = 3500 * time.Millisecond
-	// lineTimeout is the time from the first byte of a line until it is complete. A longer one is taken as lost.
+	// lineTimeout is the maximum time from the first byte of a line until it is complete. A line that exceeds it counts as
+	// lost, and the connection is closed.
 	lineTimeout = 500 * time.Millisecond
-	// oldAddressGrace is for how long answers to votes are awaited on a connection once the address has changed.
+	// oldAddressGrace is how long answers to votes are awaited on a connection after the address has changed.
 	oldAddressGrace = time.Second
-	// timeoutCheckInterval is the time between two checks of the timeouts of a connection and its votes.
+	// timeoutCheckInterval is the interval at which the timeouts of a connection and its votes are checked.
 	timeoutCheckInterval = 50 * time.Millisecond
 )
 
-// errNoHeartbeat says that the rollout controller sent nothing within silenceTimeout.
+// errNoHeartbeat is returned by serve if the rollout controller sent nothing within heartbeatTimeout.
 var errNoHeartbeat = errors.New("no heartbeat")
 
 // controllerConnection is one connection to the rollout controller while RolloutClient.serve uses it.
@@ -29,21 +31,21 @@
 	client     *RolloutClient
 	address    string
 	conn       net.Conn
-	listenID   int               // of the call to listen
-	lastLineAt time.Time         // when a line arrived last
-	pending    []pendingVote     // in the order in which they were cast
+	listenID   int               // ID of the call to the method listen
+	lastLineAt time.Time         // when the latest line arrived
+	pending    []pendingVote     // in the order in which the votes were cast
 	votes      <-chan queuedVote // nil once the address has changed
-	closeAt    time.Time         // set once the address has changed
+	closeAt    time.Time         // set when the address changes
 }
 
-// pendingVote is a vote whose answer is awaited.
+// pendingVote is a vote that awaits its answer.
 type pendingVote struct {
 	id       int
 	deadline time.Time
 }
 
-// serve receives statuses and casts votes on one connection until it is lost or silent. It returns nil where it was
-// closed because the address has changed or the context has ended.
+// serve receives statuses and casts votes on one connection until the connection is lost or no heartbeat arrives in
+// time. It returns nil if it closes the connection because the address has changed or the context has ended.
 func (c *RolloutClient) serve(ctx context.Context, address string, conn *trackedConn) error {
 	connection := &controllerConnection{client: c, address: address, conn: conn, votes: c.votes}
 	defer connection.close()
@@ -60,7 +62,7 @@
 		case <-c.addressChanged:
 			connection.drain()
 		case line := <-lines:
-			if line == nil { // those before are handled
+			if line == nil { // end of a batch, see readLines
 				continue
 			}
 			if err := connection.handleLine(line); err != nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// listen asks the controller for rollout statuses from here on.
+// listen subscribes to rollout statuses of the controller.
 func (c *controllerConnection) listen() error {
 	c.client.lastCallID++
 	c.listenID = c.client.lastCallID
@@ -98,15 +100,16 @@
 	return nil
 }
 
-// drain has no further votes cast on the connection; those that were are awaited for a while.
+// drain stops casting votes on the connection. The answers to votes already cast are awaited for oldAddressGrace.
 func (c *controllerConnection) drain() {
 	c.votes, c.closeAt = nil, time.Now().Add(oldAddressGrace)
 }
 
-// isDrained reports whether the address has changed and no vote awaits its answer.
+// isDrained reports whether the address has changed and no vote is pending.
 func (c *controllerConnection) isDrained() bool { return c.votes == nil && len(c.pending) == 0 }
 
-// handleLine passes on what one line of the controller says. A line of no known kind is an error.
+// handleLine parses one line from the controller and calls the handler for its kind. It returns an error for a line of
+// an unknown kind.
 func (c *controllerConnection) handleLine(line []byte) error {
 	c.lastLineAt = time.Now()
 	return protocol.ParseControllerLine(line, protocol.ControllerEvents{
@@ -115,7 +118,7 @@
 	})
 }
 
-// handleAnswer takes the answer to the call of an id: the one to listen, or a vote.
+// handleAnswer handles the answer to the call with the given ID, which is the call to listen or a vote.
 func (c *controllerConnection) handleAnswer(id int, outcome decision.Outcome) {
 	if id == c.listenID {
 		c.client.lastAnsweredListen = id
@@ -130,13 +133,14 @@
 	}
 }
 
-// cast writes a vote. One of which not all was written has failed, and the connection is of no further use.
+// cast writes a vote. A vote that is not written completely has failed, and the connection can no longer be used.
 func (c *controllerConnection) cast(vote queuedVote) error {
 	timeout := c.client.config.VoteTimeout
 	c.client.lastCallID++
 	text := protocol.EncodeVote(c.client.lastCallID, vote.Vote)
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
-	// Nothing but the write follows this look at the time: it may have waited for a connection, or the process stalled.
+	// The vote may have waited for a connection, or the process may have stalled. The write directly follows this reading
+	// of the clock.
 	if c.client.config.Clock()-vote.decidedAt > maxVoteAge {
 		c.client.config.OnVoteResult(decision.OutcomeNotSent)
 		return nil
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// expireVotes gives up the votes whose answers are not awaited any longer.
+// expireVotes reports a timeout for each pending vote whose deadline has passed.
 func (c *controllerConnection) expireVotes(now time.Time) {
 	for len(c.pending) > 0 && now.After(c.pending[0].deadline) {
 		c.pending = c.pending[1:]
@@ -157,7 +161,7 @@
 	}
 }
 
-// close closes the connection. Votes that still await their answers have timed out.
+// close closes the connection and reports a timeout for each vote that is still pending.
 func (c *controllerConnection) close() {
 	c.conn.Close()
 	for range c.pending {
@@ -165,8 +169,9 @@
 	}
 }
 
-// readLines passes complete lines on until the connection ends, a line is not complete in time, or done is closed. After the
-// last complete line of a read it passes nil on: once that is taken, the lines before it are handled.
+// readLines sends complete lines to the channel until the connection ends, a line is not complete within lineTimeout,
+// or done is closed. After the last complete line of each read it sends nil: when that has been received, all lines
+// before it have been handled.
 func readLines(conn *trackedConn, lines chan<- []byte, readFailed chan<- error, done <-chan struct{}) {
 	buffer := protocol.NewBuffer(protocol.MaxLineSize)
 	for {
@@ -191,7 +196,7 @@
 			readFailed <- err
 			return
 		}
-		deadline := time.Time{} // none between two lines: serve sees the silence
+		deadline := time.Time{} // no read deadline between two lines, as serve checks heartbeatTimeout
 		if len(buffer.Bytes()) > 0 {
 			deadline = time.Now().Add(lineTimeout)
 		} else {
@@ -201,7 +206,7 @@
 	}
 }
 
-// sendLine passes a line on and reports whether it was taken, which it is not once done is closed.
+// sendLine sends a line to the channel and reports whether it was received. It returns false once done is closed.
 func sendLine(line []byte, lines chan<- []byte, done <-chan struct{}) (received bool) {
 	select {
 	case lines <- line:
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -17,34 +17,36 @@
 )
 
 const (
-	// longPollLimit bounds the wait of one poll, however long the gateway may go without one. A random part of the wait,
-	// up to 1/waitJitterDivisor, is left out, so that gateways whose watches fall silent at once notice, and poll again,
-	// one after the other. With responseGrace, and two of the backoffs that follow where the first new poll is refused,
-	// that is within 6 s, the longest time for which a silent watch is tolerated.
+	// longPollLimit is the upper bound on the wait of one long poll, even if the configured wait is longer. A random part
+	// of the wait, up to 1/waitJitterDivisor, is subtracted, so that gateways whose watches stop responding at the same
+	// time do not detect it and poll again all at once. A silent watch is tolerated for at most 6 s: the wait,
+	// responseGrace and two retry delays, in case the first new poll is refused, stay within that.
 	longPollLimit     = 2400 * time.Millisecond
 	waitJitterDivisor = 3
-	// responseGrace is for how long a response is awaited after its wait: discovery serves polls in turn.
+	// responseGrace is how long to wait for a response after the wait of its long poll, because discovery serves polls one
+	// after the other.
 	responseGrace = 1200 * time.Millisecond
-	// firstPollWait has the first poll of a watch answered at once: until then the list is not confirmed.
+	// firstPollWait is the wait of the first poll of a watch. It is short so that discovery responds at once, because the
+	// endpoint list is not confirmed until then.
 	firstPollWait = time.Millisecond
-	// responseStallTimeout is the time between two reads of a response, after which it is given up.
+	// responseStallTimeout is the maximum time between two reads of a response. A response that exceeds it is abandoned.
 	responseStallTimeout = 500 * time.Millisecond
-	// watchRetryDelay is the mean delay after a failed watch of KeepWatching; each is up to half as much shorter or
-	// longer. It is short as a list that has been pushed counts as received at once.
+	// watchRetryDelay is the mean delay after a failed watch in KeepWatching. Each delay is up to half as much shorter or
+	// longer. The delay is short because a pushed list counts as received at once.
 	watchRetryDelay = 400 * time.Millisecond
 )
 
-// DiscoveryClient watches the endpoint list by long polls.
+// DiscoveryClient watches the endpoint list of discovery with long polls.
 type DiscoveryClient struct {
 	config   DiscoveryClientConfig
 	client   *http.Client
 	maxWait  time.Duration
 	watching atomic.Bool
-	conn     atomic.Pointer[trackedConn] // the one opened last, nil before the first
+	conn     atomic.Pointer[trackedConn] // the most recent connection, nil before the first
 
-	// Only the goroutine of the watch touches these.
+	// The following fields are used only on the goroutine of the watch.
 	revision    int64 // of the last list that OnList accepted
-	requestFull bool  // the next poll asks for the full list: discovery answered with one older than the one held
+	requestFull bool  // request the full list in the next poll, as discovery sent a list older than the one held
 
 	mu             sync.Mutex
 	address        string
@@ -52,21 +54,21 @@
 	cancelPoll     context.CancelFunc // ends the present poll
 }
 
-// DiscoveryClientConfig is what a DiscoveryClient needs. All fields but Revision are required. The callbacks are
-// called one at a time, on the goroutine of the watch.
+// DiscoveryClientConfig configures a DiscoveryClient. All fields but Revision are required. The callbacks are called
+// one at a time, on the goroutine of the watch.
 type DiscoveryClientConfig struct {
 	Address  string             // of discovery
 	MaxWait  time.Duration      // of one long poll; the client may wait for less
 	Revision int64              // of the endpoint list that the gateway starts with
-	Random   *seededrand.Source // spreads the polls of a fleet
-	// OnListStart is called when an endpoint list begins to arrive, before it is complete: what the list says
-	// binds the gateway from the moment it is written.
+	Random   *seededrand.Source // adds jitter to the polls, so that the gateways of a fleet do not poll in step
+	// OnListStart is called when an endpoint list begins to arrive, before it is complete, because the list is binding
+	// for the gateway from the time discovery writes it.
 	OnListStart func()
-	// OnList is called with the text of each list that arrived. full says that the poll asked for the list from
-	// no revision on. It returns the revision of the list, or protocol.ErrOlderList where a newer one is held: the
-	// next poll asks for the full list then.
+	// OnList is called with the text of each list that arrives. full is true if the poll requested the full list rather
+	// than the changes after a revision. OnList returns the revision of the list, or protocol.ErrOlderList if a newer list
+	// is held, in which case the next poll requests the full list.
 	OnList func(text []byte, full bool) (revision int64, err error)
-	// OnFailure is called with a *protocol.CallError when a poll failed and the watch has ended.
+	// OnFailure is called with a *protocol.CallError when a poll has failed, which ends the watch.
 	OnFailure func(error)
 }
 
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// NewDiscoveryClient returns a client that polls once StartWatch or KeepWatching is called. It fails where a field
-// of its configuration is missing or negative.
+// NewDiscoveryClient returns a client that polls once StartWatch or KeepWatching is called. It returns an error if a
+// field of its configuration is missing or negative.
 func NewDiscoveryClient(config DiscoveryClientConfig) (*DiscoveryClient, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -103,7 +105,7 @@
 	return c, nil
 }
 
-// dial opens a connection whose unread bytes HasUnhandled sees.
+// dial opens a connection whose unhandled input HasUnhandled reports.
 func (c *DiscoveryClient) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
@@ -117,22 +119,23 @@
 	return tracked, nil
 }
 
-// HasUnhandled reports whether discovery has sent something that OnList or OnFailure has not been given yet. It does not
-// wait.
+// HasUnhandled reports whether discovery has sent anything that has not been passed to OnList or OnFailure yet. It does
+// not block.
 func (c *DiscoveryClient) HasUnhandled() bool {
 	conn := c.conn.Load()
 	return conn != nil && conn.hasUnhandledInput()
 }
 
-// markHandled says that what discovery has sent so far was handled.
+// markHandled records that everything discovery has sent so far has been handled.
 func (c *DiscoveryClient) markHandled() {
 	if conn := c.conn.Load(); conn != nil {
 		conn.markHandled()
 	}
 }
 
-// StartWatch watches the list from the last revision on, unless it is being watched already. It does not wait. The
-// watch ends when a poll fails, which OnFailure reports, or when the context ends, which it does not.
+// StartWatch starts a watch of the endpoint list from the last revision, unless a watch is running already. It does not
+// block. The watch ends when a poll fails, which is reported to OnFailure, or when the context ends, which is not
+// reported.
 func (c *DiscoveryClient) StartWatch(ctx context.Context) {
 	if !c.watching.CompareAndSwap(false, true) {
 		return
@@ -147,8 +150,8 @@
 	}()
 }
 
-// KeepWatching watches the list until the context ends, with a short delay after each failure. It is for gateways to
-// which the list is pushed: the balancer does not pace their polls.
+// KeepWatching watches the endpoint list until the context ends, with a short delay after each failure. It is for
+// gateways to which the list is pushed, as the balancer does not schedule their polls.
 func (c *DiscoveryClient) KeepWatching(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.config.OnFailure(c.watch(ctx))
@@ -160,8 +163,8 @@
 	}
 }
 
-// SetAddress has the watch continue at another address, at once: the present poll is canceled. It reports whether
-// the address is another one.
+// SetAddress makes the watch continue at another address at once, by canceling the current poll. It reports whether the
+// address has changed.
 func (c *DiscoveryClient) SetAddress(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,8 +177,9 @@
 	return true
 }
 
-// watch polls again and again, each time as soon as the last list is handled, until a poll fails and the address has
-// not changed meanwhile, there and back included. It returns a *protocol.CallError.
+// watch polls repeatedly, each time as soon as the last list has been handled, until a poll fails for another reason
+// than a change of the address. A change counts even if the address has been changed back since. The error is a
+// *protocol.CallError.
 func (c *DiscoveryClient) watch(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	first := true
@@ -190,7 +194,7 @@
 	}
 }
 
-// pollCurrentAddress polls once and reports whether the address has changed meanwhile.
+// pollCurrentAddress polls once and reports whether the address was changed during the poll.
 func (c *DiscoveryClient) pollCurrentAddress(ctx context.Context, first bool) (addressChanged bool, err error) {
 	pollCtx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -208,10 +212,10 @@
 	return c.addressChanges != addressChanges, err
 }
 
-// poll makes one long poll and handles its list. It reports whether a list had started to arrive that was not taken
-// over. A response that starts and stalls is given up soon, as its connection may stay open for ever; one that makes
-// progress, if slowly, as to a gateway short of processor time, is read until the timeout of the whole poll. cancel
-// ends the poll; to call it after that does nothing.
+// poll makes one long poll and handles its list. responseStarted is true if a response had started to arrive whose list
+// was lost. A response that starts and then stalls is abandoned after responseStallTimeout, as its connection may stay
+// open indefinitely. A response that makes progress, however slowly, for example because the gateway is short of
+// processor time, is read until the timeout of the whole poll. cancel ends the poll and has no effect after that.
 func (c *DiscoveryClient) poll(ctx context.Context, cancel context.CancelFunc, address string, first bool) (responseStarted bool, err error) {
 	var responding atomic.Bool
 	wait := c.maxWait - c.config.Random.Duration(c.maxWait/waitJitterDivisor)
@@ -242,7 +246,8 @@
 	return c.readList(&progressReader{response.Body, stallTimer}, full)
 }
 
-// listURL is the URL of a poll: of the full list at once, or of what changed after the revision.
+// listURL returns the URL of a poll, which requests either the full list at once or the changes after the held
+// revision.
 func (c *DiscoveryClient) listURL(address string, wait time.Duration, full bool) string {
 	url := fmt.Sprintf("http://%s/discovery/hosts", address)
 	if full {
@@ -251,8 +256,8 @@
 	return url + fmt.Sprintf("?after=%d&wait_ms=%d", c.revision, wait.Milliseconds())
 }
 
-// readList reads a list and has it handled. notTaken is true where it did not arrive completely, or was refused for
-// another reason than its revision.
+// readList reads a list and passes it to OnList. listLost is true if the list did not arrive completely, or if OnList
+// rejected it for another reason than its revision.
 func (c *DiscoveryClient) readList(body io.Reader, full bool) (listLost bool, err error) {
 	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListSize))
 	if err != nil {
@@ -267,7 +272,7 @@
 	return !c.requestFull, err
 }
 
-// progressReader postpones the end of a poll with each read of its response.
+// progressReader restarts the stall timer of a poll with each read of the response.
 type progressReader struct {
 	io.Reader
 	stallTimer *time.Timer
--- a/internal/transport/endpoint_pool.go
+++ b/internal/transport/endpoint_pool.go
@@ -11,12 +11,12 @@
 	"laurelring/decision/monotonic"
 )
 
-// reuseDelay is for how long a connection is idle before it is used again: what an endpoint sends beyond its response
-// comes right behind it, and would be taken for the response to the next request.
+// reuseDelay is the minimum time that a connection is idle before it is reused. Bytes that an endpoint sends beyond its
+// response arrive directly after it and would otherwise be taken for the response to the next request.
 const reuseDelay = 20 * time.Millisecond
 
-// EndpointPool sends attempts to endpoints and keeps their connections. A connection carries one attempt at a time,
-// so that no response waits behind another, and giving one attempt up ends no other one.
+// EndpointPool sends attempts to endpoints over pooled connections. A connection carries one attempt at a time, so that
+// no response waits behind another and canceling an attempt does not affect other attempts.
 type EndpointPool struct {
 	quota          *descriptorQuota
 	clock          func() monotonic.Time
@@ -25,17 +25,17 @@
 	idleTimeout    time.Duration
 
 	mu              sync.Mutex
-	idleByAddress   map[string][]*endpointConnection // the one used last at the end
-	idleOldestFirst []*endpointConnection            // all idle ones, by the time since when they have been idle
+	idleByAddress   map[string][]*endpointConnection // the most recently used connection is last
+	idleOldestFirst []*endpointConnection            // all idle connections, the one idle longest is first
 }
 
-// EndpointPoolConfig is what an EndpointPool needs. All fields are required.
+// EndpointPoolConfig configures an EndpointPool. All fields are required.
 type EndpointPoolConfig struct {
 	Budget         *DescriptorBudget
 	Log            *RateLimitedLog
-	Clock          func() monotonic.Time // the one by which attempts are decided
-	ConnectTimeout time.Duration         // until a connection is established
-	IdleTimeout    time.Duration         // after which an unused connection is closed
+	Clock          func() monotonic.Time // the clock by which attempts are decided
+	ConnectTimeout time.Duration         // time limit for establishing a connection
+	IdleTimeout    time.Duration         // idle time after which a connection is closed
 }
 
 func (c *EndpointPoolConfig) validate() error {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// NewEndpointPool returns a pool without connections. It fails where a field of its configuration is missing or
+// NewEndpointPool returns a pool without connections. It returns an error if a field of its configuration is missing or
 // negative.
 func NewEndpointPool(config EndpointPoolConfig) (*EndpointPool, error) {
 	if err := config.validate(); err != nil {
@@ -67,7 +67,7 @@
 	return p, nil
 }
 
-// Send starts an attempt at an endpoint without waiting for it.
+// Send starts an attempt and returns without waiting for its outcome.
 func (p *EndpointPool) Send(request AttemptRequest) *Attempt {
 	attempt := newAttempt(request)
 	if c := p.takeIdle(request.Address); c != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// connect opens a connection for an attempt, sends the attempt on it, and reads the connection until it ends.
+// connect opens a connection for an attempt, sends the attempt on it, and reads from the connection until it ends.
 func (p *EndpointPool) connect(address string, attempt *Attempt) {
 	if !p.quota.acquire() {
 		attempt.finish(decision.OutcomeNotSent)
@@ -113,8 +113,8 @@
 	c.readResponses()
 }
 
-// takeIdle takes the connection to an address that was used last off the idle ones, or returns nil if none has been
-// idle for reuseDelay.
+// takeIdle removes and returns the most recently used connection to an address that has been idle for at least
+// reuseDelay. It returns nil if no connection has.
 func (p *EndpointPool) takeIdle(address string) *endpointConnection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +133,7 @@
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Its reader ends at this deadline, if nothing was sent on the connection since.
+	// At this deadline the connection's reader closes it, unless an attempt has taken it by then.
 	c.conn.SetReadDeadline(now.Add(p.idleTimeout))
 	c.mu.Lock()
 	closed := c.closed
@@ -146,7 +146,7 @@
 	p.idleOldestFirst = append(p.idleOldestFirst, c)
 }
 
-// removeIdle takes a connection off the idle ones and reports whether it was one. The caller holds the lock.
+// removeIdle removes a connection from the idle connections and reports whether it was idle. The caller holds p.mu.
 func (p *EndpointPool) removeIdle(c *endpointConnection) bool {
 	index := slices.Index(p.idleOldestFirst, c)
 	if index < 0 {
@@ -162,9 +162,9 @@
 	return true
 }
 
-// expireIdle takes a connection whose read deadline has passed off the idle ones and reports whether it was one. If an
-// attempt has just taken the connection, the deadline is removed here: a reader that read again at once would loop,
-// and where a single processor is available the attempt's goroutine would never run.
+// expireIdle removes a connection whose read deadline has passed from the idle connections and reports whether it was
+// idle. If an attempt has just taken the connection, expireIdle clears the deadline. Otherwise the reader would retry
+// in a busy loop, and with a single processor the attempt's goroutine would never run.
 func (p *EndpointPool) expireIdle(c *endpointConnection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,14 +175,14 @@
 	return idle
 }
 
-// forgetIdle takes a connection that is being closed off the idle ones, if it is one.
+// forgetIdle removes a connection that is being closed from the idle connections, if it is idle.
 func (p *EndpointPool) forgetIdle(c *endpointConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.removeIdle(c)
 }
 
-// closeIdle closes the connection that has been idle longest.
+// closeIdle closes the connection that has been idle longest. It returns false if no connection is idle.
 func (p *EndpointPool) closeIdle() bool {
 	p.mu.Lock()
 	var oldest *endpointConnection
@@ -194,6 +194,6 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close("descriptor needed")
+	oldest.close("descriptor needed for another connection")
 	return true
 }
--- a/internal/transport/observed_conn.go
+++ b/internal/transport/observed_conn.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// trackedConn is a connection that knows whether anything was sent on it that its reader has not handled yet: bytes that
-// wait to be read, or that were read since the reader last called markHandled.
+// trackedConn is a TCP connection that tracks whether its peer has sent anything that the reader has not handled yet:
+// bytes that wait to be read, or that were read since the reader last called markHandled.
 type trackedConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
-	mu        sync.Mutex // held while bytes are read, so that none is on its way from the kernel to the reader unseen
+	mu        sync.Mutex // held during a read, so that bytes taken from the kernel are recorded in unhandled at once
 	unhandled bool
 }
 
-// trackInput wraps a connection, which it closes where it cannot.
+// trackInput wraps a connection in a trackedConn. It closes the connection if it returns an error.
 func trackInput(conn net.Conn) (*trackedConn, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -35,7 +35,7 @@
 	return &trackedConn{TCPConn: tcp, raw: raw}, nil
 }
 
-// Read reads as the connection itself does.
+// Read implements net.Conn and records whether bytes were read.
 func (c *trackedConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -58,15 +58,15 @@
 	return n, nil
 }
 
-// markHandled says that all that was read so far is handled. Only the reader may call it.
+// markHandled records that all bytes read so far have been handled. Only the reader may call it.
 func (c *trackedConn) markHandled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unhandled = false
 }
 
-// hasUnhandledInput reports whether something that was sent on the connection, its end included, is not handled yet. A closed
-// connection has nothing.
+// hasUnhandledInput reports whether bytes or the end of the stream have arrived and are not handled yet. It returns
+// false for a closed connection whose bytes were all handled.
 func (c *trackedConn) hasUnhandledInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/peer_socket.go
+++ b/internal/transport/peer_socket.go
@@ -10,14 +10,15 @@
 	"laurelring/internal/protocol"
 )
 
-// maxOutgoingDatagrams wait to be sent; a further one is dropped, as any datagram may be lost.
+// maxOutgoingDatagrams is the maximum number of datagrams that wait to be sent. Any further datagram is dropped, as
+// datagrams may be lost anyway.
 const maxOutgoingDatagrams = 1024
 
-// PeerSocket carries datagrams between gateways.
+// PeerSocket sends and receives datagrams between gateways.
 type PeerSocket struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // by the gateways' numbers
-	broadcast netip.AddrPort   // reaches all of them; not valid if there is none
+	peers     []netip.AddrPort // indexed by gateway rank
+	broadcast netip.AddrPort   // reaches all gateways; not valid if there is no broadcast address
 	clock     func() monotonic.Time
 	outgoing  chan datagram
 }
@@ -28,16 +29,17 @@
 	decidedAt monotonic.Time
 }
 
-// PeerSocketConfig is what a PeerSocket needs. Addresses are an IP address and a port. All fields but Broadcast are
-// required.
+// PeerSocketConfig configures a PeerSocket. Each address consists of an IP address and a port. All fields but Broadcast
+// are required.
 type PeerSocketConfig struct {
-	Listen    string                // where the socket is opened
-	Peers     []string              // in the order of the gateways' numbers
-	Broadcast string                // reaches all of them; empty if there is none
-	Clock     func() monotonic.Time // the one by which datagrams are decided
+	Listen    string                // local address of the socket
+	Peers     []string              // addresses of all gateways, by rank
+	Broadcast string                // reaches all gateways; empty if there is no broadcast address
+	Clock     func() monotonic.Time // the clock by which datagrams are decided
 }
 
-// NewPeerSocket opens a socket.
+// NewPeerSocket opens a UDP socket. It returns an error if the clock is missing, an address is invalid, or the socket
+// cannot be opened.
 func NewPeerSocket(config PeerSocketConfig) (*PeerSocket, error) {
 	if config.Clock == nil {
 		return nil, errors.New("peer socket needs a clock")
@@ -64,9 +66,9 @@
 	return p, err
 }
 
-// Send sends a datagram to the gateway of a number, or to all where the number is below 0. It does not wait. A datagram is
-// dropped that is too long, for a number of no gateway, or not written soon after it was decided: what it says, ages among
-// it, is of that moment.
+// Send queues a datagram to the gateway of the given rank, or to all gateways if the rank is negative. It does not
+// block. A datagram is dropped if it is too long, if no gateway has the rank, if the queue is full, or if it is not
+// written within maxDecisionAge of decidedAt: its contents, such as ages, describe the state at that time.
 func (p *PeerSocket) Send(rank int, payload []byte, decidedAt monotonic.Time) {
 	if len(payload) > protocol.MaxDatagramSize || rank >= len(p.peers) {
 		return
@@ -85,8 +87,8 @@
 	}
 }
 
-// Run sends the datagrams and calls onDatagram, on its own goroutine, for each that arrives from a gateway, until
-// Close.
+// Run sends the queued datagrams and calls onDatagram for each datagram that arrives from a gateway, on the goroutine
+// that called Run. It returns after Close.
 func (p *PeerSocket) Run(onDatagram func(from int, payload []byte), log *RateLimitedLog) {
 	done := make(chan struct{})
 	defer close(done)
@@ -95,7 +97,7 @@
 	for i, address := range p.peers {
 		ranks[address] = i
 	}
-	buffer := make([]byte, protocol.MaxDatagramSize+1) // one byte more, to see that a datagram is too long
+	buffer := make([]byte, protocol.MaxDatagramSize+1) // one extra byte to detect datagrams that are too long
 	for {
 		n, sender, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -103,7 +105,7 @@
 		}
 		if err != nil {
 			log.Warn("peer datagram read failed", "error", err)
-			time.Sleep(shortageRetryDelay) // the machine may be short of some resource for a while
+			time.Sleep(shortageRetryDelay) // the machine may be temporarily short of a resource
 			continue
 		}
 		rank, known := ranks[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -14,14 +14,16 @@
 )
 
 const (
-	// maxQueuedVotes wait to be cast; the balancer casts one at a time.
+	// maxQueuedVotes is the maximum number of votes that wait to be cast. The balancer casts one at a time.
 	maxQueuedVotes = 4
-	// maxVoteAge is how long after it was decided a vote may be cast: gateways look at the evidence anew as often.
+	// maxVoteAge is the maximum time between the decision on a vote and its casting. Gateways re-evaluate the evidence at
+	// this interval.
 	maxVoteAge = 500 * time.Millisecond
-	// maxInitialDelay bounds the random delay of the first connection, as all gateways of a fleet may start at once.
+	// maxInitialDelay is the upper bound on the random delay before the first connection, as all gateways of a fleet may
+	// start at once.
 	maxInitialDelay = 300 * time.Millisecond
-	// minReconnectDelay is the first delay until the next connection, which doubles with each failure up to
-	// maxReconnectDelay. A random part of up to the same length is added.
+	// minReconnectDelay is the initial delay before the next connection. The delay doubles with each failure, up to
+	// maxReconnectDelay. A random jitter of up to the same length is added.
 	minReconnectDelay        = 100 * time.Millisecond
 	maxReconnectDelay        = 800 * time.Millisecond
 	controllerConnectTimeout = time.Second
@@ -31,31 +33,31 @@
 type RolloutClient struct {
 	config         RolloutClientConfig
 	votes          chan queuedVote
-	addressChanged chan struct{}               // holds one element once the address has changed
-	conn           atomic.Pointer[trackedConn] // the one opened last, nil before the first
+	addressChanged chan struct{}               // receives one element when the address has changed
+	conn           atomic.Pointer[trackedConn] // the most recent connection, nil before the first
 
-	// Only Run's goroutine touches these.
+	// The following fields are used only on Run's goroutine.
 	lastCallID         int
-	lastAnsweredListen int // the last call to listen that the controller answered
+	lastAnsweredListen int // ID of the last call to listen that the controller answered
 
 	mu      sync.Mutex
 	address string
 }
 
-// RolloutClientConfig is what a RolloutClient needs. All fields are required. The callbacks are called one at a
-// time, but for OnVoteResult where Vote finds the queue full.
+// RolloutClientConfig configures a RolloutClient. All fields are required. The callbacks are called one at a time,
+// except that OnVoteResult may run concurrently with them if Vote finds the queue full.
 type RolloutClientConfig struct {
 	Address     string                // of the rollout controller
-	VoteTimeout time.Duration         // for writing a vote, and again for its answer
-	Clock       func() monotonic.Time // the one by which votes are decided
-	Random      *seededrand.Source    // spreads the reconnects of a fleet
+	VoteTimeout time.Duration         // for writing a vote, and again for receiving its answer
+	Clock       func() monotonic.Time // the clock by which votes are decided
+	Random      *seededrand.Source    // adds jitter, so that the gateways of a fleet do not reconnect in step
 	// OnStatus is called for each rollout status that the controller sends.
 	OnStatus func(decision.RolloutStatus)
 	// OnVoteResult is called once for each vote.
 	OnVoteResult func(outcome decision.Outcome)
-	// OnConnected is called when the controller has answered on a new connection.
+	// OnConnected is called when the controller has answered the call to listen on a new connection.
 	OnConnected func(address string)
-	// OnDisconnected is called when a connection failed or was lost; the client connects again by itself.
+	// OnDisconnected is called when a connection could not be established or was lost. The client reconnects by itself.
 	OnDisconnected func(address string, err error)
 }
 
@@ -73,8 +75,8 @@
 	return nil
 }
 
-// NewRolloutClient returns a client that connects once Run is called. It fails where a field of its configuration is
-// missing or negative.
+// NewRolloutClient returns a client that connects once Run is called. It returns an error if a field of its
+// configuration is missing or negative.
 func NewRolloutClient(config RolloutClientConfig) (*RolloutClient, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -87,8 +89,8 @@
 	}, nil
 }
 
-// SetAddress has the client connect to another address. The answers to votes that were cast are awaited on the old
-// connection; later votes are cast on the new one.
+// SetAddress makes the client connect to another address. Answers to votes already cast are awaited on the old
+// connection for oldAddressGrace. Later votes are cast on the new connection.
 func (c *RolloutClient) SetAddress(address string) {
 	c.mu.Lock()
 	changed := c.address != address
@@ -114,8 +116,8 @@
 	decidedAt monotonic.Time
 }
 
-// Vote queues a vote to be cast. It does not wait; a vote for which there is no room has failed. One that could not be cast
-// soon after it was decided is not sent: the evidence may speak otherwise by then.
+// Vote queues a vote to be cast. It does not block: if the queue is full, the vote fails. A vote that is not cast
+// within maxVoteAge of decidedAt is not sent, because the evidence may support a different verdict by then.
 func (c *RolloutClient) Vote(vote decision.Vote, decidedAt monotonic.Time) {
 	select {
 	case c.votes <- queuedVote{vote, decidedAt}:
@@ -124,8 +126,8 @@
 	}
 }
 
-// Run keeps the connection until the context ends. One that was answered on is replaced soon; after one that was not,
-// the delay doubles.
+// Run keeps a connection to the controller until the context ends. It reconnects after the minimum delay if the
+// controller had answered on the lost connection. Otherwise the delay doubles.
 func (c *RolloutClient) Run(ctx context.Context) {
 	c.waitToReconnect(ctx, c.config.Random.Duration(maxInitialDelay))
 	for delay := minReconnectDelay; ctx.Err() == nil; {
@@ -147,24 +149,26 @@
 	}
 }
 
-// trackAndServe uses a connection whose unread bytes HasUnhandled sees.
+// trackAndServe serves a connection whose unhandled input HasUnhandled reports.
 func (c *RolloutClient) trackAndServe(ctx context.Context, address string, conn net.Conn) error {
 	tracked, err := trackInput(conn)
 	if err != nil {
 		return err
 	}
 	c.conn.Store(tracked)
-	defer tracked.markHandled() // nothing of it will be: it is closed by then
+	defer tracked.markHandled() // the connection is closed by then, and no further input of it will be handled
 	return c.serve(ctx, address, tracked)
 }
 
-// HasUnhandled reports whether the controller has sent something that OnStatus has not been given yet. It does not wait.
+// HasUnhandled reports whether the controller has sent anything that has not been handled yet, such as a status that
+// has not been passed to OnStatus. It does not block.
 func (c *RolloutClient) HasUnhandled() bool {
 	conn := c.conn.Load()
 	return conn != nil && conn.hasUnhandledInput()
 }
 
-// waitToReconnect waits before the next connection, unless the address changes. Votes fail meanwhile.
+// waitToReconnect waits for the delay before the next connection, or until the address changes or the context ends.
+// Votes fail in the meantime.
 func (c *RolloutClient) waitToReconnect(ctx context.Context, delay time.Duration) {
 	elapsed := time.After(delay)
 	for {
