--- a/internal/transport/endpoint_pool.go
+++ b/internal/transport/endpoint_pool.go
@@ -194,6 +194,6 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.close("descriptor needed for another connection")
+	oldest.close("descriptor needed")
 	return true
 }
