--- a/cmd/gateway/build.go
+++ b/cmd/gateway/build.go
@@ -171,7 +171,7 @@
 			SendDatagram:         sendDatagram,
 			CastVote:             func(vote decision.Vote, decidedAt monotonic.Time) { g.rollout.Vote(vote, decidedAt) },
 			PollDiscovery:        func() { g.discovery.StartWatch(ctx) },
-			HasUnhandledNotice:   func() bool { return g.discovery.HasUnhandled() || g.rollout.HasUnhandled() },
+			HasUnhandledNotice:   func() bool { return g.discovery.HasUnhandledInput() || g.rollout.HasUnhandledInput() },
 			VerifyBuild:          verifyBuild,
 		},
 	})
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-// dial opens a connection whose unhandled input HasUnhandled reports.
+// dial opens a connection of which HasUnhandledInput reports unhandled input.
 func (c *DiscoveryClient) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
@@ -119,9 +119,9 @@
 	return tracked, nil
 }
 
-// HasUnhandled reports whether discovery has sent anything that has not been passed to OnList or OnFailure yet. It does
-// not block.
-func (c *DiscoveryClient) HasUnhandled() bool {
+// HasUnhandledInput reports whether discovery has sent anything that has not been passed to OnList or OnFailure yet. It
+// does not block.
+func (c *DiscoveryClient) HasUnhandledInput() bool {
 	conn := c.conn.Load()
 	return conn != nil && conn.hasUnhandledInput()
 }
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// trackAndServe serves a connection whose unhandled input HasUnhandled reports.
+// trackAndServe serves a connection of which HasUnhandledInput reports unhandled input.
 func (c *RolloutClient) trackAndServe(ctx context.Context, address string, conn net.Conn) error {
 	tracked, err := trackInput(conn)
 	if err != nil {
@@ -160,9 +160,9 @@
 	return c.serve(ctx, address, tracked)
 }
 
-// HasUnhandled reports whether the controller has sent anything that has not been handled yet, such as a status that
-// has not been passed to OnStatus. It does not block.
-func (c *RolloutClient) HasUnhandled() bool {
+// HasUnhandledInput reports whether the controller has sent anything that has not been handled yet, such as a status
+// that has not been passed to OnStatus. It does not block.
+func (c *RolloutClient) HasUnhandledInput() bool {
 	conn := c.conn.Load()
 	return conn != nil && conn.hasUnhandledInput()
 }
