--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -19,7 +19,7 @@
 const (
 	// longPollLimit is the upper bound on the wait of one long poll, even if the configured wait is longer. A random part
 	// of the wait, up to 1/waitJitterDivisor, is subtracted, so that gateways whose watches stop responding at the same
-	// time do not detect it and poll again all at once. A silent watch is tolerated for at most 6 s: the wait,
+	// time detect it, and poll again, one after the other. A silent watch is tolerated for at most 6 s: the wait,
 	// responseGrace and two retry delays, in case the first new poll is refused, stay within that.
 	longPollLimit     = 2400 * time.Millisecond
 	waitJitterDivisor = 3
@@ -51,7 +51,7 @@
 	mu             sync.Mutex
 	address        string
 	addressChanges int                // how often the address has changed
-	cancelPoll     context.CancelFunc // ends the present poll
+	cancelPoll     context.CancelFunc // ends the current poll
 }
 
 // DiscoveryClientConfig configures a DiscoveryClient. All fields but Revision are required. The callbacks are called
