--- a/internal/simulatoradapter/serve.go
+++ b/internal/simulatoradapter/serve.go
@@ -1,6 +1,6 @@
-// Package simulatoradapter runs balancers on the simulator's protocol: it reads batches of events, turns ids into objects
-// and milliseconds into durations, keeps timers and open requests, and writes the balancers' decisions as actions. It
-// decides nothing.
+// Package simulatoradapter connects balancers to the simulator's protocol: it reads batches of events, turns ids into
+// objects and milliseconds into durations, keeps timers and open requests, and writes the balancers' decisions as
+// actions. It makes no decisions of its own.
 package simulatoradapter
 
 import (
@@ -16,22 +16,23 @@
 )
 
 const (
-	batchHeaderSize = 4 + 8 // bytes: the length of the frame, the clock
-	replyHeaderSize = 4 + 4 // bytes: the number of records, the length of the frame
-	streamBuffer    = 1 << 20
+	batchHeaderSize  = 4 + 8   // bytes: length of the frame, clock
+	replyHeaderSize  = 4 + 4   // bytes: number of records, length of the frame
+	streamBufferSize = 1 << 20 // bytes
 )
 
-// server is one process: gateways that share nothing but the lists defined for all of them.
+// server holds the gateways of one process. They share nothing but the endpoint lists.
 type server struct {
 	gateways map[uint16]*gateway
 	lists    map[uint32][]listEntry
-	batch    int      // counts batches
-	active   []uint16 // gateways that have had an event in the present batch, in the order of their first
+	batch    int      // number of the current batch
+	active   []uint16 // numbers of the gateways with an event in the current batch, ordered by their first event
 }
 
-// Serve answers batches until the input ends. The error is a *RecordError where a record cannot be understood.
+// Serve answers batches until the input ends. The error is a *RecordError if a record is malformed or holds an invalid
+// value.
 func Serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, streamBuffer), bufio.NewWriterSize(w, streamBuffer)
+	in, out := bufio.NewReaderSize(r, streamBufferSize), bufio.NewWriterSize(w, streamBufferSize)
 	s := &server{gateways: map[uint16]*gateway{}, lists: map[uint32][]listEntry{}}
 	var frame bytes.Buffer
 	for {
@@ -51,7 +52,8 @@
 	}
 }
 
-// readBatch reads the records of a batch into frame and returns its clock, or io.EOF where the input ends between batches.
+// readBatch reads the records of the next batch into frame and returns the batch's clock, or io.EOF if the input ends
+// between batches.
 func readBatch(in io.Reader, frame *bytes.Buffer) (now monotonic.Time, err error) {
 	var header [batchHeaderSize]byte
 	n, err := io.ReadFull(in, header[:])
@@ -70,13 +72,13 @@
 	return clock.duration(), nil
 }
 
-// selection is the gateway that the next events of a batch are about. The gateway is nil while it is not running.
+// selection is the gateway that the following events of a batch apply to. The gateway is nil if it is not running.
 type selection struct {
 	number  uint16
 	gateway *gateway
 }
 
-// handleBatch passes every event on to its gateway.
+// handleBatch passes the events of a batch to their gateways, up to the first invalid record.
 func (s *server) handleBatch(r *recordReader, now monotonic.Time) error {
 	s.batch++
 	s.active = s.active[:0]
@@ -103,7 +105,7 @@
 	return r.err
 }
 
-// markActive has a running gateway take part in the reply to the batch.
+// markActive adds a running gateway to those that take part in the reply to the batch.
 func (s *server) markActive(selected selection) {
 	if g := selected.gateway; g != nil && g.lastBatch != s.batch {
 		g.lastBatch = s.batch
@@ -111,7 +113,7 @@
 	}
 }
 
-// startGateway replaces the selected gateway by a new one.
+// startGateway reads a seed and settings and replaces the selected gateway by a new one that uses them.
 func (s *server) startGateway(r *recordReader, selected *selection) {
 	seed := r.uint64()
 	settings := r.bytes(uint64(r.uint32()))
@@ -124,7 +126,7 @@
 		return
 	}
 	if previous := selected.gateway; previous != nil {
-		started.lastBatch = previous.lastBatch // it stands among the active ones already
+		started.lastBatch = previous.lastBatch // its number is in s.active already
 	}
 	selected.gateway = started
 	s.gateways[selected.number] = started
@@ -140,14 +142,14 @@
 	}
 }
 
-// reply ends the batch for each gateway that had an event and writes their actions.
+// reply does the due work of each gateway that had an event in the batch and writes the actions of these gateways.
 func (s *server) reply(out *bufio.Writer, now monotonic.Time) error {
 	var actions actionWriter
 	for _, number := range s.active {
 		g := s.gateways[number]
 		g.runDueWork(now)
 		if g.actions.count > 0 {
-			actions.append(number, &g.actions)
+			actions.appendGateway(number, &g.actions)
 		}
 		g.actions.reset()
 	}
