--- a/internal/simulatoradapter/action_writer.go
+++ b/internal/simulatoradapter/action_writer.go
@@ -30,8 +30,8 @@
 // reset removes all actions and keeps the allocated buffer.
 func (w *actionWriter) reset() { *w = actionWriter{data: w.data[:0]} }
 
-// appendGateway appends the number of a gateway and then its actions.
-func (w *actionWriter) appendGateway(gateway uint16, actions *actionWriter) {
+// append appends the number of a gateway and then its actions.
+func (w *actionWriter) append(gateway uint16, actions *actionWriter) {
 	w.beginRecord(actionGatewaySelected)
 	w.uint16(gateway)
 	w.data = append(w.data, actions.data...)
--- a/internal/simulatoradapter/serve.go
+++ b/internal/simulatoradapter/serve.go
@@ -149,7 +149,7 @@
 		g := s.gateways[number]
 		g.runDueWork(now)
 		if g.actions.count > 0 {
-			actions.appendGateway(number, &g.actions)
+			actions.append(number, &g.actions)
 		}
 		g.actions.reset()
 	}
