--- a/cmd/gatewayctl/session.go
+++ b/cmd/gatewayctl/session.go
@@ -72,7 +72,7 @@
 }
 
 func (s *session) refresh(ctx context.Context) error {
-	usage, err := s.client.Refresh(ctx, s.config.RefreshWithin())
+	usage, err := s.client.Refresh(ctx, s.config.RefreshTimeout())
 	if err != nil {
 		return verificationError(err)
 	}
@@ -83,7 +83,7 @@
 	if err := s.ensureValid(ctx); err != nil {
 		return err
 	}
-	target, usage, err := s.client.FetchTarget(ctx, path, s.config.FetchWithin())
+	target, usage, err := s.client.FetchTarget(ctx, path, s.config.FetchTimeout())
 	if err != nil {
 		return verificationError(err)
 	}
@@ -95,7 +95,7 @@
 	if !s.store.InMemory() && s.client.Status().Trust == tuf.StatusTrusted {
 		return nil
 	}
-	if _, err := s.client.Refresh(ctx, s.config.RefreshWithin()); err != nil {
+	if _, err := s.client.Refresh(ctx, s.config.RefreshTimeout()); err != nil {
 		return verificationError(err)
 	}
 	return nil
--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -41,7 +41,7 @@
 // which case background jobs do; onChecked is called with the result of each check of a build.
 func NewAgent(config *OperatorConfig, client *Client, seed uint64, requestsWait func() bool,
 	onChecked func(build int, verified bool)) *Agent {
-	period := config.RefreshEvery()
+	period := config.RefreshPeriod()
 	return &Agent{
 		config:       config,
 		client:       client,
@@ -123,7 +123,7 @@
 }
 
 func (a *Agent) refresh(ctx context.Context) (bytes int64) {
-	usage, err := a.client.Refresh(ctx, a.config.RefreshWithin())
+	usage, err := a.client.Refresh(ctx, a.config.RefreshTimeout())
 	if err != nil {
 		slog.Warn("metadata refresh failed", "error", err)
 	}
@@ -136,7 +136,7 @@
 func (a *Agent) checkBuilds(ctx context.Context) (bytes int64) {
 	for _, build := range a.builds {
 		var usage Usage
-		_, err := a.client.FindTarget(ctx, a.config.buildTarget(build), a.config.RefreshWithin(), &usage)
+		_, err := a.client.FindTarget(ctx, a.config.buildTarget(build), a.config.RefreshTimeout(), &usage)
 		bytes += usage.Bytes
 		if err != nil {
 			slog.Warn("build not verified", "build", build, "error", err)
--- a/internal/tuf/operatorconfig.go
+++ b/internal/tuf/operatorconfig.go
@@ -191,14 +191,14 @@
 	return strings.ReplaceAll(c.BuildTarget, buildPlaceholder, strconv.Itoa(build))
 }
 
-// RefreshWithin returns how long a refresh of the metadata may take.
-func (c *OperatorConfig) RefreshWithin() time.Duration { return milliseconds(c.RefreshTimeoutMs) }
+// RefreshTimeout returns how long a refresh of the metadata may take.
+func (c *OperatorConfig) RefreshTimeout() time.Duration { return milliseconds(c.RefreshTimeoutMs) }
 
-// FetchWithin returns how long a fetch of a target may take.
-func (c *OperatorConfig) FetchWithin() time.Duration { return milliseconds(c.FetchTimeoutMs) }
+// FetchTimeout returns how long a fetch of a target may take.
+func (c *OperatorConfig) FetchTimeout() time.Duration { return milliseconds(c.FetchTimeoutMs) }
 
-// RefreshEvery returns the period of an agent's refreshes.
-func (c *OperatorConfig) RefreshEvery() time.Duration { return milliseconds(c.RefreshPeriodMs) }
+// RefreshPeriod returns the period of an agent's refreshes.
+func (c *OperatorConfig) RefreshPeriod() time.Duration { return milliseconds(c.RefreshPeriodMs) }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
