--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	maxBuilds         = 64 // builds that are checked periodically; the oldest are forgotten
+	maxBuilds         = 64 // builds that are checked periodically; beyond it the oldest are dropped
 	maxQueuedRequests = 64
-	checkPeriod       = 5 * time.Second // an expiry in between is reported this late
+	checkPeriod       = 5 * time.Second // an expiration is reported at the next check, up to about this late
 	removalPeriod     = time.Hour
-	minWait           = time.Millisecond // between two questions to the scheduler
-	jobDescriptors    = 2                // of a job that fetches
+	minWait           = time.Millisecond // between two queries of the scheduler
+	jobDescriptors    = 2                // file descriptors that a fetching job holds
 )
 
-// Agent refreshes metadata in the background of a gateway and reports which builds are verified. When jobs run is the
-// decision of package schedule, what is trusted that of package verifiedmetadata.
+// Agent runs in the background of a gateway: it refreshes metadata, reports which builds are verified and removes
+// unlisted targets. Package schedule decides when its jobs run, package verifiedmetadata what is trusted.
 type Agent struct {
-	config       *OperatorConfig
-	client       *Client
-	scheduler    *schedule.Scheduler
-	requestsWait func() bool
-	onChecked    func(build int, verified bool)
-	requested    chan int
-	started      time.Time
+	config          *OperatorConfig
+	client          *Client
+	scheduler       *schedule.Scheduler
+	requestsWaiting func() bool
+	onBuildChecked  func(build int, verified bool)
+	buildRequests   chan int
+	started         time.Time
 
-	builds     []int // that are checked periodically, the newest last
+	builds     []int // builds that are checked periodically, the newest last
 	refreshJob *schedule.Job
 	checkJob   *schedule.Job
 	removalJob *schedule.Job
 }
 
-// NewAgent returns an agent that owns the client from here on. RequestsWait reports whether clients' requests wait, in
-// which case background jobs do; onChecked is called with the result of each check of a build.
-func NewAgent(config *OperatorConfig, client *Client, seed uint64, requestsWait func() bool,
-	onChecked func(build int, verified bool)) *Agent {
+// NewAgent returns an agent. From then on only the agent may use the client, except that the caller closes it. The
+// function requestsWaiting reports whether client requests are queued, in which case background jobs are deferred. The
+// function onBuildChecked is called with the result of each check of a build.
+func NewAgent(config *OperatorConfig, client *Client, seed uint64, requestsWaiting func() bool,
+	onBuildChecked func(build int, verified bool)) *Agent {
 	period := config.RefreshPeriod()
 	return &Agent{
-		config:       config,
-		client:       client,
-		scheduler:    schedule.New(seed, schedule.DefaultLimits),
-		requestsWait: requestsWait,
-		onChecked:    onChecked,
-		requested:    make(chan int, maxQueuedRequests),
-		started:      time.Now(),
-		refreshJob:   &schedule.Job{Name: "refresh", Priority: 2, Period: period, Descriptors: jobDescriptors},
-		checkJob:     &schedule.Job{Name: "builds", Priority: 1, Period: min(period, checkPeriod), Descriptors: jobDescriptors},
-		removalJob:   &schedule.Job{Name: "clean-up", Period: removalPeriod},
+		config:          config,
+		client:          client,
+		scheduler:       schedule.New(seed, schedule.DefaultLimits),
+		requestsWaiting: requestsWaiting,
+		onBuildChecked:  onBuildChecked,
+		buildRequests:   make(chan int, maxQueuedRequests),
+		started:         time.Now(),
+		refreshJob:      &schedule.Job{Name: "refresh", Priority: 2, Period: period, Descriptors: jobDescriptors},
+		checkJob:        &schedule.Job{Name: "builds", Priority: 1, Period: min(period, checkPeriod), Descriptors: jobDescriptors},
+		removalJob:      &schedule.Job{Name: "clean-up", Period: removalPeriod},
 	}
 }
 
-// CheckBuild requests a check of a build, and then periodic ones. It does not block: where too many requests are queued
-// this one is dropped. It is safe for concurrent use.
+// CheckBuild requests a check of a build now and periodic checks from then on. It does not block: if the queue of
+// requested builds is full, the request is dropped. CheckBuild is safe for concurrent use.
 func (a *Agent) CheckBuild(build int) {
 	select {
-	case a.requested <- build:
+	case a.buildRequests <- build:
 	default:
 	}
 }
 
-// Reload reads the operator's file again and takes from it which mirrors drain; every other field applies from the next
-// start on.
+// Reload reads the operator's file again and applies its list of draining mirrors. Every other field takes effect at
+// the next start of the process.
 func (a *Agent) Reload(file string) error {
 	config, err := LoadOperatorConfig(file)
 	if err == nil {
@@ -75,9 +76,11 @@
 	return err
 }
 
+// elapsed returns the monotonic time since the agent was created. The scheduler uses this clock.
 func (a *Agent) elapsed() monotonic.Time { return time.Since(a.started) }
 
-// Run runs jobs until the context ends. The first refresh is due at once, as nothing is trusted before.
+// Run runs jobs until the context ends. The first refresh is due immediately, because without one the stored metadata
+// may be missing or no longer valid.
 func (a *Agent) Run(ctx context.Context) {
 	for _, job := range []*schedule.Job{a.refreshJob, a.checkJob, a.removalJob} {
 		if err := a.scheduler.Add(job, a.elapsed()); err != nil {
@@ -87,16 +90,16 @@
 	}
 	a.scheduler.RunSoon(a.refreshJob, a.elapsed())
 	for {
-		job, askAgain := a.scheduler.Next(a.elapsed(), a.requestsWait())
+		job, wakeAt := a.scheduler.Next(a.elapsed(), a.requestsWaiting())
 		if job != nil {
 			start := time.Now()
 			bytes := a.runJob(ctx, job)
 			a.scheduler.Finish(job, time.Since(start), bytes, a.elapsed())
 			continue
 		}
-		timer := time.NewTimer(max(askAgain-a.elapsed(), minWait))
+		timer := time.NewTimer(max(wakeAt-a.elapsed(), minWait))
 		select {
-		case build := <-a.requested:
+		case build := <-a.buildRequests:
 			a.addBuild(build)
 			a.scheduler.RunSoon(a.checkJob, a.elapsed())
 		case <-timer.C:
@@ -108,7 +111,7 @@
 	}
 }
 
-// runJob runs a job and returns how many bytes it fetched.
+// runJob runs a job and returns the number of bytes that it fetched.
 func (a *Agent) runJob(ctx context.Context, job *schedule.Job) (bytes int64) {
 	switch job {
 	case a.refreshJob:
@@ -131,8 +134,8 @@
 	return usage.Bytes
 }
 
-// checkBuilds reports for each requested build whether its target is trusted. Where no mirror delivers what is needed to
-// tell, the last report stands.
+// checkBuilds reports for each requested build whether its target is trusted. If metadata that is needed for the
+// decision is unavailable from all mirrors, it reports nothing and the last report remains in effect.
 func (a *Agent) checkBuilds(ctx context.Context) (bytes int64) {
 	for _, build := range a.builds {
 		var usage Usage
@@ -144,12 +147,12 @@
 				continue
 			}
 		}
-		a.onChecked(build, err == nil)
+		a.onBuildChecked(build, err == nil)
 	}
 	return bytes
 }
 
-// addBuild adds a build to those that are checked periodically.
+// addBuild adds a build to the periodic checks. Above maxBuilds it drops the oldest build.
 func (a *Agent) addBuild(build int) {
 	if slices.Contains(a.builds, build) {
 		return
--- a/internal/tuf/client.go
+++ b/internal/tuf/client.go
@@ -1,6 +1,7 @@
-// Package tuf fetches signed metadata and targets of The Update Framework. It carries bytes between mirrors, the
-// verified metadata and the store, and executes what packages verifiedmetadata, mirrorpool and schedule decide. It also
-// reads the operator's file.
+// Package tuf is a client for signed metadata and targets after The Update Framework (TUF). It downloads files from
+// mirrors, passes them to package verifiedmetadata and writes the results to the store. The decisions are those of
+// other packages: verifiedmetadata decides what is trusted, mirrorpool which mirror is requested and when, and schedule
+// when background jobs run. The package also reads the operator's configuration file.
 package tuf
 
 import (
@@ -17,24 +18,24 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// Connections to one mirror are few: a client fetches one file at a time.
+// Limits of the HTTP connections to one mirror. They are low because a client fetches one file at a time.
 const (
 	maxConnectionsPerMirror     = 2
 	maxIdleConnectionsPerMirror = 1
 	idleConnectionTimeout       = 5 * time.Second
 )
 
-// ClientConfig is what a client needs.
+// ClientConfig holds the dependencies and limits of a client.
 type ClientConfig struct {
-	Root     []byte // the root metadata that the operator trusts
+	Root     []byte // trusted root metadata, provided by the operator
 	Limits   verifiedmetadata.Limits
 	Mirrors  *mirrorpool.Pool
-	Store    *store.Store // of the caller, who closes it after the client
-	Now      func() int64 // wall clock in ns since the Unix epoch, by which metadata expire
+	Store    *store.Store // owned by the caller, who closes it after the client
+	Now      func() int64 // wall clock in ns since the Unix epoch, used for the expiration of metadata
 	Observer Observer     // may be nil
 }
 
-// Client holds verified metadata and refreshes them, and fetches targets. It is not safe for concurrent use, but for
+// Client holds verified metadata, refreshes it and fetches targets. It is not safe for concurrent use, except for
 // SetDraining.
 type Client struct {
 	verifier *verifiedmetadata.Verifier
@@ -44,14 +45,14 @@
 	now      func() int64
 	started  time.Time
 	observer Observer
-	rejected []error // stored records that did not verify
-	storeErr error   // why the last change could not be stored, or nil
+	rejected []error // one error for each stored record that did not verify
+	storeErr error   // error of the last attempt to store changes, or nil
 
-	drainingMirrors atomic.Pointer[[]string]
+	drainingMirrors atomic.Pointer[[]string] // URLs set by SetDraining, nil before its first call
 }
 
-// NewClient returns a client that starts from the operator's root and the store's records. Its error is a
-// *verifiedmetadata.VerificationError where the root cannot be used.
+// NewClient returns a client that starts from the operator's root and the records in the store. It returns a
+// *verifiedmetadata.VerificationError if the root cannot be used.
 func NewClient(config ClientConfig) (*Client, error) {
 	verifier, rejected, err := verifiedmetadata.NewVerifier(config.Root, config.Limits, config.Store.Records())
 	if err != nil {
@@ -76,45 +77,47 @@
 func newHTTPClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DisableCompression:  true, // lengths and ranges count the file's own bytes
+			DisableCompression:  true, // lengths and byte ranges refer to the uncompressed file
 			MaxConnsPerHost:     maxConnectionsPerMirror,
 			MaxIdleConnsPerHost: maxIdleConnectionsPerMirror,
 			IdleConnTimeout:     idleConnectionTimeout,
 		},
-		// A mirror must serve by itself: a redirect counts as a failure of the mirror.
+		// A mirror must serve files itself: a redirect counts as a failure of the mirror.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Close closes idle connections.
+// Close closes idle connections to mirrors.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// elapsed returns the moment on the monotonic clock that the mirror pool counts by.
+// elapsed returns the monotonic time since the client was created. The mirror pool uses this clock.
 func (c *Client) elapsed() monotonic.Time { return time.Since(c.started) }
 
-// remaining returns the time left until a moment of elapsed.
+// remaining returns the time left until a time on the clock of elapsed.
 func (c *Client) remaining(until monotonic.Time) time.Duration { return until - c.elapsed() }
 
-// SetDraining sets which mirrors drain: they get no new attempts, while those in flight go on. It is safe for concurrent
-// use, also while a fetch runs.
+// SetDraining sets the URLs of the draining mirrors. A draining mirror gets no new attempts, but attempts in flight
+// continue. SetDraining is safe for concurrent use, also while a fetch runs.
 func (c *Client) SetDraining(mirrors []string) { c.drainingMirrors.Store(&mirrors) }
 
-// applyDraining has the pool go by the mirrors that drain now.
+// applyDraining passes the current set of draining mirrors to the pool.
 func (c *Client) applyDraining() {
 	if draining := c.drainingMirrors.Load(); draining != nil {
 		c.mirrors.SetDrainingMirrors(*draining)
 	}
 }
 
-// Usage is what a refresh or a fetch cost. Its JSON form is part of what gatewayctl prints.
+// Usage is the traffic, the attempts and the time that a refresh or a fetch used. Its JSON form is part of the output
+// of gatewayctl.
 type Usage struct {
 	Bytes    int64         `json:"bytes"`
 	Attempts int           `json:"attempts"`
 	Duration time.Duration `json:"took_ns"`
 }
 
-// Refresh brings the metadata of the top-level roles up to date within a time. On an error, a
-// *verifiedmetadata.VerificationError, what was trusted stays so.
+// Refresh updates the metadata of the top-level roles within a timeout. Its errors are
+// *verifiedmetadata.VerificationError; after an error the metadata trusted before is still trusted, except where a new
+// root has revoked its keys.
 func (c *Client) Refresh(ctx context.Context, timeout time.Duration) (usage Usage, err error) {
 	start := c.elapsed()
 	err = c.refresh(ctx, start+timeout, &usage)
@@ -146,15 +149,15 @@
 	}
 }
 
-// metadataRequest is a metadata file to be fetched and who verifies it.
+// metadataRequest describes a metadata file to fetch and the function that verifies its contents.
 type metadataRequest struct {
 	file     verifiedmetadata.NeededFile
 	deadline monotonic.Time
 	verify   func(contents []byte) error
 }
 
-// fetchMetadata fetches a metadata file from one mirror after the other until one delivers contents that verify. It
-// returns false without an error where an optional file was not found.
+// fetchMetadata fetches a metadata file from one mirror after another until one delivers contents that verify. It
+// returns false without an error if an optional file was not found.
 func (c *Client) fetchMetadata(ctx context.Context, request metadataRequest, usage *Usage) (found bool, err error) {
 	fetch := c.mirrors.NewFetch(request.file.MaxBytes, request.deadline)
 	d := &download{
@@ -168,13 +171,14 @@
 	switch {
 	case outcome == mirrorpool.OutcomeCompleted:
 		return true, nil
-	case request.file.Optional && fetch.NotFoundCount() > 0: // and no other mirror delivered one that verifies
+	case request.file.Optional && fetch.NotFoundCount() > 0: // and no other mirror delivered a valid file
 		return false, nil
 	}
 	return false, downloadError(request.file.Role, outcome, d.verifyErr)
 }
 
-// FindTarget looks for the role that lists a target, and fetches the metadata of delegated roles that it needs.
+// FindTarget searches for the role that lists a target. It fetches the metadata of delegated roles as the search needs
+// it.
 func (c *Client) FindTarget(ctx context.Context, path string, timeout time.Duration, usage *Usage) (*verifiedmetadata.Target, error) {
 	deadline := c.elapsed() + timeout
 	search, err := c.verifier.SearchTarget(path, c.now())
@@ -193,10 +197,10 @@
 	}
 }
 
-// targetsFolder is where a mirror has targets.
+// targetsFolder is the path of the targets below a mirror's URL.
 const targetsFolder = "targets/"
 
-// FetchTarget fetches a target into the store, complete and verified, or not at all.
+// FetchTarget fetches a target and adds it to the store once it is complete and verified. On an error nothing is added.
 func (c *Client) FetchTarget(ctx context.Context, path string, timeout time.Duration) (target *verifiedmetadata.Target, usage Usage, err error) {
 	start := c.elapsed()
 	target, err = c.fetchTarget(ctx, path, start, timeout, &usage)
@@ -234,7 +238,8 @@
 	return target, nil
 }
 
-// VerifyTarget reads a fetched target and returns why it is not what the trusted roles list now, or nil.
+// VerifyTarget verifies the stored contents of a target against the length and hashes that the trusted roles list now.
+// It returns nil if they match.
 func (c *Client) VerifyTarget(path string) error {
 	target, err := c.verifier.LookupTarget(path, c.now())
 	if err != nil {
@@ -242,10 +247,10 @@
 	}
 	reader, err := c.store.OpenTarget(path)
 	if err != nil {
-		return unavailable(path, "it was not fetched")
+		return unavailable(path, "target has not been fetched")
 	}
 	defer reader.Close()
-	withoutBlocks := *target // the hash of the whole file is enough
+	withoutBlocks := *target // the hashes of the whole file are sufficient
 	withoutBlocks.BlockSize = 0
 	contents := newTargetContents(&withoutBlocks, store.Discard(), nil)
 	if _, err := io.Copy(contents, io.LimitReader(reader, target.Length+1)); err != nil {
@@ -254,13 +259,14 @@
 	return contents.finish()
 }
 
-// CheckTrusted returns why a target may not be used now by the metadata that are trusted already, or nil.
+// CheckTrusted returns nil if the metadata that is already trusted allows the use of a target now, otherwise the
+// reason. It fetches nothing.
 func (c *Client) CheckTrusted(path string) error {
 	_, err := c.verifier.LookupTarget(path, c.now())
 	return err
 }
 
-// RemoveUnlisted removes the fetched targets that no role lists any more and returns how many.
+// RemoveUnlisted removes the stored targets that no role lists any more and returns their number.
 func (c *Client) RemoveUnlisted() (removed int) {
 	for _, path := range c.store.TargetPaths() {
 		if verifiedmetadata.ReasonOf(c.CheckTrusted(path)) != verifiedmetadata.ReasonNotListed {
@@ -273,8 +279,8 @@
 	return removed
 }
 
-// persist stores what has changed. Where the store fails, what is trusted stays so until the process ends, and the next
-// call tries again.
+// persist writes changed records to the store. If that fails, the metadata stays trusted until the process ends, and
+// the next call tries again.
 func (c *Client) persist() {
 	changes := c.verifier.TakeChanges()
 	if len(changes) == 0 {
@@ -286,20 +292,21 @@
 	}
 }
 
-// downloadError is why a file was not fetched: its contents did not verify, or no mirror delivered it completely.
+// downloadError returns the error of a failed download: its contents did not verify, it was too large, or no mirror
+// delivered it completely.
 func downloadError(subject string, outcome mirrorpool.AttemptOutcome, verifyErr error) error {
 	switch {
 	case verifyErr != nil:
 		return verifyErr
 	case outcome == mirrorpool.OutcomeTooLarge:
 		return &verifiedmetadata.VerificationError{
-			Reason: verifiedmetadata.ReasonTooLarge, Subject: subject, Detail: "more came than it may be long"}
+			Reason: verifiedmetadata.ReasonTooLarge, Subject: subject, Detail: "received more bytes than the maximum length"}
 	}
-	return unavailable(subject, "the last mirror: "+outcome.String())
+	return unavailable(subject, "no mirror delivered the file, last outcome: "+outcome.String())
 }
 
 func storeError(path string, err error) error {
-	return unavailable(path, fmt.Sprintf("it cannot be kept: %s", err))
+	return unavailable(path, fmt.Sprintf("cannot store the target: %s", err))
 }
 
 func unavailable(subject, detail string) error {
--- a/internal/tuf/contents.go
+++ b/internal/tuf/contents.go
@@ -13,7 +13,8 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// metadataContents is the destination of a metadata file, which is held in memory and verified at its end.
+// metadataContents is the destination of a metadata file. It holds the file in memory and verifies it when it is
+// complete.
 type metadataContents struct {
 	bytes.Buffer
 	fetch  *mirrorpool.Fetch
@@ -26,21 +27,21 @@
 	return nil
 }
 
-func (c *metadataContents) verified() int64 { return 0 }
+func (c *metadataContents) verifiedBytes() int64 { return 0 }
 
 func (c *metadataContents) finish() error { return c.verify(c.Bytes()) }
 
-// targetContents is the destination of a target. Where the role lists hashes of blocks each block is verified before
-// it is written, so that another mirror can continue behind the last verified block.
+// targetContents is the destination of a target. If the role lists hashes of blocks, each block is verified before it
+// is written, so that another mirror can continue after the last verified block.
 type targetContents struct {
 	target   *verifiedmetadata.Target
 	writer   *store.TargetWriter
-	fetch    *mirrorpool.Fetch // nil where the contents come from the store
+	fetch    *mirrorpool.Fetch // nil if the contents are read from the store
 	hashes   map[string]hash.Hash
-	written  int64
-	skip     int64 // bytes of the attempt still to come that are written already
-	block    []byte
-	blockErr error // of the last block that did not verify
+	written  int64  // bytes written to the writer
+	skip     int64  // bytes to discard from the attempt, because they are already written
+	block    []byte // the current block, not yet complete or not yet verified
+	blockErr error  // error of the last block that did not verify
 }
 
 func newTargetContents(target *verifiedmetadata.Target, writer *store.TargetWriter, fetch *mirrorpool.Fetch) *targetContents {
@@ -63,14 +64,14 @@
 func (c *targetContents) begin(offset int64) error {
 	c.block = c.block[:0]
 	if c.target.BlockSize > 0 {
-		c.skip = c.written - offset // a mirror may send the whole file in place of a range
+		c.skip = c.written - offset // above 0 if the mirror sends the whole file instead of a range
 		return nil
 	}
-	// Nothing of the file is verified before its end, so each attempt starts from its first byte.
+	// Without block hashes no part of the file is verified before its end, so each attempt starts at the first byte.
 	c.fetch.Restart()
 	c.written = 0
 	c.resetHashes()
-	return asStorageError(c.writer.Reset())
+	return wrapStorageError(c.writer.Reset())
 }
 
 var errWrongBlock = errors.New("block does not match its hash")
@@ -98,7 +99,7 @@
 	return len(data), nil
 }
 
-// writeBlock verifies and writes a complete block.
+// writeBlock verifies a complete block and writes it.
 func (c *targetContents) writeBlock() error {
 	index := c.written / c.target.BlockSize
 	if digest := sha256.Sum256(c.block); !bytes.Equal(digest[:], c.target.BlockHashes[index]) {
@@ -118,20 +119,20 @@
 	}
 	n, err := c.writer.Write(data)
 	c.written += int64(n)
-	return asStorageError(err)
+	return wrapStorageError(err)
 }
 
-func (c *targetContents) verified() int64 {
+func (c *targetContents) verifiedBytes() int64 {
 	if c.target.BlockSize == 0 {
 		return 0
 	}
 	return c.written
 }
 
-// finish verifies the length and the hashes of the whole target.
+// finish verifies the length and all listed hashes of the whole target.
 func (c *targetContents) finish() error {
 	if c.written != c.target.Length {
-		return c.contentError(verifiedmetadata.ReasonWrongLength, fmt.Sprintf("%d bytes of %d", c.written, c.target.Length))
+		return c.contentError(verifiedmetadata.ReasonWrongLength, fmt.Sprintf("got %d of %d bytes", c.written, c.target.Length))
 	}
 	for _, algorithm := range []string{"sha256", "sha512"} {
 		want := c.target.Hashes[algorithm]
--- a/internal/tuf/download.go
+++ b/internal/tuf/download.go
@@ -14,31 +14,31 @@
 
 const readBufferBytes = 16 << 10
 
-// destination takes the bytes of a file from the attempts of a download.
+// destination receives the bytes of a file from the attempts of a download.
 type destination interface {
-	// Writer takes the bytes of an attempt. An error ends the attempt: a *storageError where they could not be kept, else the
-	// contents do not verify.
+	// The Write method receives the bytes of an attempt in order. An error ends the attempt: a *storageError if the
+	// bytes could not be stored, any other error if they do not verify.
 	io.Writer
-	// begin prepares for the bytes of an attempt, which start at an offset of the file. Its errors are as of Write.
+	// begin prepares for the bytes of an attempt, which start at an offset of the file. Its errors are those of Write.
 	begin(offset int64) error
-	// verified returns how many bytes of the file are verified already, from its start on.
-	verified() int64
+	// verifiedBytes returns how many bytes from the start of the file are verified already.
+	verifiedBytes() int64
 	// finish verifies the whole file.
 	finish() error
 }
 
-// download fetches one file, as the mirror pool decides.
+// download executes the steps of a mirrorpool.Fetch for one file.
 type download struct {
 	client      *Client
 	fetch       *mirrorpool.Fetch
-	path        string // below a mirror's URL
+	path        string // relative to a mirror's URL
 	destination destination
 	usage       *Usage
-	verifyErr   error // of the last attempt that delivered the file to its end
-	storageErr  error // why the destination could not take the file: no mirror is at fault
+	verifyErr   error // result of verifying the last attempt that delivered a complete file
+	storageErr  error // the destination could not store the file; no mirror is at fault
 }
 
-// run executes the pool's steps until the fetch has its outcome.
+// run executes the steps of the fetch until it has an outcome.
 func (d *download) run(ctx context.Context) mirrorpool.AttemptOutcome {
 	for {
 		if ctx.Err() != nil {
@@ -66,13 +66,14 @@
 	}
 }
 
-// nextStep asks the pool for the next step, by the mirrors that drain now.
+// nextStep updates which mirrors drain and returns the next step of the fetch.
 func (d *download) nextStep() mirrorpool.Step {
 	d.client.applyDraining()
 	return d.fetch.NextStep(d.client.elapsed())
 }
 
-// attempt requests the file from one mirror.
+// attempt requests the file from one mirror and returns the outcome. A watchdog timer cancels the request at the
+// fetch's next check unless bytes arrive before.
 func (d *download) attempt(ctx context.Context, step mirrorpool.AttemptStep) mirrorpool.AttemptOutcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -87,7 +88,7 @@
 	}
 	response, err := d.client.http.Do(request)
 	if err != nil {
-		return d.interrupted(ctx, mirrorpool.OutcomeRefused)
+		return d.transferErrorOutcome(ctx, mirrorpool.OutcomeRefused)
 	}
 	defer response.Body.Close()
 	offset, outcome := contentOffset(response, step.Offset)
@@ -95,17 +96,17 @@
 		return outcome
 	}
 	if err := d.destination.begin(offset); err != nil {
-		return d.refused(err)
+		return d.writeErrorOutcome(err)
 	}
 	return d.receive(ctx, response.Body, watchdog)
 }
 
-// contentOffset returns the offset of a response's first byte in the file, or the outcome of a response that does not
-// carry the file.
+// contentOffset returns the offset in the file of a response's first byte and OutcomeCompleted, or the outcome of a
+// response that does not contain the file.
 func contentOffset(response *http.Response, requested int64) (int64, mirrorpool.AttemptOutcome) {
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
-		return 0, mirrorpool.OutcomeCompleted // the whole file, also where a range was requested
+		return 0, mirrorpool.OutcomeCompleted // the whole file, even if a range was requested
 	case code == http.StatusPartialContent && requested > 0 &&
 		strings.HasPrefix(response.Header.Get("Content-Range"), fmt.Sprintf("bytes %d-", requested)):
 		return requested, mirrorpool.OutcomeCompleted
@@ -117,7 +118,7 @@
 	return 0, mirrorpool.OutcomeRefused
 }
 
-// receive carries the body to the destination until the file is complete or the pool ends the attempt.
+// receive copies the body to the destination until the file is complete or the pool ends the attempt.
 func (d *download) receive(ctx context.Context, body io.Reader, watchdog *time.Timer) mirrorpool.AttemptOutcome {
 	buffer := make([]byte, readBufferBytes)
 	for {
@@ -125,12 +126,12 @@
 		d.usage.Bytes += int64(n)
 		if n > 0 {
 			if _, writeErr := d.destination.Write(buffer[:n]); writeErr != nil {
-				return d.refused(writeErr)
+				return d.writeErrorOutcome(writeErr)
 			}
-			if d.fetch.IsComplete(d.destination.verified()) {
-				return mirrorpool.OutcomeCompleted // whatever may follow is no part of the file
+			if d.fetch.IsComplete(d.destination.verifiedBytes()) {
+				return mirrorpool.OutcomeCompleted // any further bytes are not part of the file
 			}
-			if !d.fetch.Received(int64(n), d.destination.verified(), d.client.elapsed()) {
+			if !d.fetch.Received(int64(n), d.destination.verifiedBytes(), d.client.elapsed()) {
 				outcome, _ := d.fetch.LastAttempt()
 				return outcome
 			}
@@ -140,14 +141,15 @@
 		case errors.Is(err, io.EOF):
 			return mirrorpool.OutcomeCompleted
 		case err != nil:
-			return d.interrupted(ctx, mirrorpool.OutcomeClosedEarly)
+			return d.transferErrorOutcome(ctx, mirrorpool.OutcomeClosedEarly)
 		}
 	}
 }
 
-// refused returns how an attempt ended whose bytes the destination did not take: for what they are, or because it could not
-// keep them, as on a full disk. That ends the fetch, as another mirror's would not be kept either.
-func (d *download) refused(err error) mirrorpool.AttemptOutcome {
+// writeErrorOutcome returns the outcome of an attempt that ended with an error of the destination. If the destination
+// could not store the bytes, for example on a full disk, the outcome is OutcomeCanceled, which ends the fetch: bytes of
+// another mirror could not be stored either. Otherwise the bytes did not verify.
+func (d *download) writeErrorOutcome(err error) mirrorpool.AttemptOutcome {
 	var storage *storageError
 	if errors.As(err, &storage) {
 		d.storageErr = storage.err
@@ -156,22 +158,22 @@
 	return mirrorpool.OutcomeUnverified
 }
 
-// storageError says that bytes could not be kept.
+// storageError reports that the store could not write bytes.
 type storageError struct{ err error }
 
 func (e *storageError) Error() string { return e.err.Error() }
 
-// asStorageError wraps an error of the store, if there is one.
-func asStorageError(err error) error {
+// wrapStorageError returns an error of the store as a *storageError, or nil for nil.
+func wrapStorageError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &storageError{err}
 }
 
-// interrupted returns how an attempt ended that broke off: as given, unless the watchdog canceled it and the pool has a
-// reason for that.
-func (d *download) interrupted(ctx context.Context, outcome mirrorpool.AttemptOutcome) mirrorpool.AttemptOutcome {
+// transferErrorOutcome returns the outcome of an attempt whose request or body read failed. It is the given outcome,
+// unless the context was canceled and the pool then ends the attempt with an outcome of its own, such as a stall.
+func (d *download) transferErrorOutcome(ctx context.Context, outcome mirrorpool.AttemptOutcome) mirrorpool.AttemptOutcome {
 	if ctx.Err() == nil || d.fetch.CheckAttempt(d.client.elapsed()) {
 		return outcome
 	}
--- a/internal/tuf/operatorconfig.go
+++ b/internal/tuf/operatorconfig.go
@@ -26,17 +26,19 @@
 //go:embed operator.schema.json
 var operatorSchema []byte
 
-// Defaults of fields that have none in the limits of other packages, in milliseconds.
+// Default values in milliseconds. All other defaults come from verifiedmetadata.DefaultLimits and
+// mirrorpool.DefaultLimits.
 const (
 	defaultRefreshPeriodMs  = 600_000
 	defaultRefreshTimeoutMs = 30_000
 	defaultFetchTimeoutMs   = 300_000
 )
 
-// buildPlaceholder stands for a build's number in BuildTarget.
+// buildPlaceholder is replaced by the build number in OperatorConfig.BuildTarget.
 const buildPlaceholder = "{build}"
 
-// OperatorConfig is the contents of an operator's file. Its JSON keys are those of operator.schema.json.
+// OperatorConfig holds the fields of an operator's configuration file for signed metadata. The JSON keys are those of
+// operator.schema.json.
 type OperatorConfig struct {
 	Root             string   `json:"root"`
 	Store            string   `json:"store"`
@@ -61,10 +63,10 @@
 	rootContents []byte
 }
 
-// ConfigError is a fault of an operator's file. Its text is what operators read.
+// ConfigError reports an invalid operator's file. Operators read its text.
 type ConfigError struct {
 	File   string
-	Field  string // empty for a fault of the whole file
+	Field  string // empty if the error concerns the whole file
 	Reason string
 }
 
@@ -75,17 +77,17 @@
 	return fmt.Sprintf("%s: field %q: %s", e.File, e.Field, e.Reason)
 }
 
-// LoadOperatorConfig reads an operator's file, and the root that it names. Relative paths in it are relative to its
-// folder. A file with a fault is rejected as a whole, with a *ConfigError.
+// LoadOperatorConfig reads an operator's file and the root metadata file that it names. Relative paths in the file are
+// resolved against its folder. An invalid file is rejected as a whole with a *ConfigError.
 func LoadOperatorConfig(file string) (*OperatorConfig, error) {
 	contents, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &ConfigError{File: file, Reason: err.Error()}
 	}
-	config, fault := ParseOperatorConfig(contents)
-	if fault != nil {
-		fault.File = file
-		return nil, fault
+	config, configErr := ParseOperatorConfig(contents)
+	if configErr != nil {
+		configErr.File = file
+		return nil, configErr
 	}
 	config.Root = resolvePath(file, config.Root)
 	config.Store = resolvePath(file, config.Store)
@@ -95,7 +97,7 @@
 	return config, nil
 }
 
-// resolvePath returns a path of an operator's file, empty where it is not set.
+// resolvePath resolves a path from an operator's file against the file's folder. An empty path stays empty.
 func resolvePath(file, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -103,10 +105,11 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// ParseOperatorConfig validates the contents of an operator's file against the schema and reads them.
+// ParseOperatorConfig validates the contents of an operator's file against the schema and parses them. It does not set
+// ConfigError.File.
 func ParseOperatorConfig(contents []byte) (*OperatorConfig, *ConfigError) {
-	if fault := validate(contents); fault != nil {
-		return nil, fault
+	if configErr := validateSchema(contents); configErr != nil {
+		return nil, configErr
 	}
 	config := defaultOperatorConfig()
 	if err := json.Unmarshal(contents, config); err != nil {
@@ -140,15 +143,15 @@
 	return config
 }
 
-// validate checks the contents of an operator's file against the schema.
-func validate(contents []byte) *ConfigError {
+// validateSchema validates the contents of an operator's file against operator.schema.json.
+func validateSchema(contents []byte) *ConfigError {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(contents))
 	if err != nil {
 		return &ConfigError{Reason: "it is not JSON: " + err.Error()}
 	}
 	schemaDocument, err := jsonschema.UnmarshalJSON(bytes.NewReader(operatorSchema))
 	if err != nil {
-		return &ConfigError{Reason: "the schema is not JSON: " + err.Error()}
+		return &ConfigError{Reason: "the embedded schema is not JSON: " + err.Error()}
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource("operator.json", schemaDocument); err != nil {
@@ -159,13 +162,13 @@
 		return &ConfigError{Reason: err.Error()}
 	}
 	if err := schema.Validate(document); err != nil {
-		return firstFault(err)
+		return firstSchemaError(err)
 	}
 	return nil
 }
 
-// firstFault converts the first fault that the schema finds, with the path of its field.
-func firstFault(err error) *ConfigError {
+// firstSchemaError converts the first leaf of a schema validation error to a ConfigError with the path of the field.
+func firstSchemaError(err error) *ConfigError {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return &ConfigError{Reason: err.Error()}
@@ -176,17 +179,17 @@
 	fieldPath := func(names ...string) string {
 		return strings.Join(slices.Concat(invalid.InstanceLocation, names), ".")
 	}
-	switch fault := invalid.ErrorKind.(type) {
+	switch schemaErr := invalid.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		return &ConfigError{Field: fieldPath(fault.Properties[0]), Reason: "is not known"}
+		return &ConfigError{Field: fieldPath(schemaErr.Properties[0]), Reason: "is not known"}
 	case *kind.Required:
-		return &ConfigError{Field: fieldPath(fault.Missing[0]), Reason: "is missing"}
+		return &ConfigError{Field: fieldPath(schemaErr.Missing[0]), Reason: "is missing"}
 	}
 	printer := message.NewPrinter(language.English)
 	return &ConfigError{Field: fieldPath(), Reason: invalid.ErrorKind.LocalizedString(printer)}
 }
 
-// buildTarget returns the path of the target that has to be trusted before a build gets requests.
+// buildTarget returns the path of the target that must be trusted before a build gets requests.
 func (c *OperatorConfig) buildTarget(build int) string {
 	return strings.ReplaceAll(c.BuildTarget, buildPlaceholder, strconv.Itoa(build))
 }
@@ -197,13 +200,14 @@
 // FetchTimeout returns how long a fetch of a target may take.
 func (c *OperatorConfig) FetchTimeout() time.Duration { return milliseconds(c.FetchTimeoutMs) }
 
-// RefreshPeriod returns the period of an agent's refreshes.
+// RefreshPeriod returns the interval between two refreshes of an Agent.
 func (c *OperatorConfig) RefreshPeriod() time.Duration { return milliseconds(c.RefreshPeriodMs) }
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// NewClient returns a client as the file says, with its store. The caller closes both, the client first. Errors that
-// are no *verifiedmetadata.VerificationError are the store's.
+// NewClient returns a client with the limits, mirrors and root of the file, and its store, which is in memory if the
+// file names none. The caller closes both, the client first. An error is a *verifiedmetadata.VerificationError if the
+// root cannot be used, otherwise an error of the store.
 func (c *OperatorConfig) NewClient(seed uint64, now func() int64, observer Observer) (*Client, *store.Store, error) {
 	opened := store.NewMemory()
 	if c.Store != "" {
--- a/internal/tuf/status.go
+++ b/internal/tuf/status.go
@@ -5,20 +5,22 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// StatusTrusted is Status.Trust while the trusted metadata may be relied on.
+// StatusTrusted is the value of Status.Trust while the trusted metadata is valid.
 const StatusTrusted = "trusted"
 
+// storeHealthy is the value of Status.Store while the store is durable, was found undamaged and its last write
+// succeeded.
 const storeHealthy = "kept"
 
-// Status is what operators are shown. Its JSON form is part of what gatewayctl prints.
+// Status is the state of a client as operators see it. Its JSON form is part of the output of gatewayctl.
 type Status struct {
-	Trust           string                         `json:"standing"`    // StatusTrusted, or why not
-	LastRefresh     int64                          `json:"fresh_at_ns"` // ns since the Unix epoch, 0 if there was none
+	Trust           string                         `json:"standing"`    // StatusTrusted, or why it is not valid
+	LastRefresh     int64                          `json:"fresh_at_ns"` // ns since the Unix epoch, 0 for never
 	Roles           []verifiedmetadata.TrustedRole `json:"roles"`
 	Mirrors         []mirrorpool.MirrorState       `json:"mirrors"`
-	Targets         []string                       `json:"targets"` // paths of fetched targets
-	Store           string                         `json:"store"`   // "kept", or what is wrong or not durable
-	RejectedRecords []string                       `json:"left_out,omitempty"`
+	Targets         []string                       `json:"targets"`            // paths of stored targets
+	Store           string                         `json:"store"`              // "kept", or what is wrong or not durable
+	RejectedRecords []string                       `json:"left_out,omitempty"` // errors of unverified stored records
 }
 
 // Status returns the state of the metadata, the mirrors and the store, and reports it to the observer.
@@ -57,17 +59,17 @@
 	return storeHealthy
 }
 
-// Observer is notified of what a client does. An error is a *verifiedmetadata.VerificationError, or nil for a success.
+// Observer receives the events of a client. Errors are *verifiedmetadata.VerificationError, or nil after a success.
 type Observer interface {
-	// RefreshFinished reports a refresh of the metadata.
+	// RefreshFinished reports the end of a refresh of the metadata.
 	RefreshFinished(err error, usage Usage)
-	// FetchFinished reports a fetch of a target.
+	// FetchFinished reports the end of a fetch of a target.
 	FetchFinished(err error, usage Usage)
-	// AttemptFinished reports one attempt at a mirror.
+	// AttemptFinished reports the outcome of one attempt at a mirror.
 	AttemptFinished(mirror string, outcome mirrorpool.AttemptOutcome)
-	// StoreFailed reports that a change could not be stored.
+	// StoreFailed reports that changed metadata could not be stored.
 	StoreFailed()
-	// StatusReported reports a status; now is in ns since the Unix epoch.
+	// StatusReported reports a status; now is the wall clock in ns since the Unix epoch.
 	StatusReported(status Status, now int64)
 }
 
--- a/internal/tuf/tufmetrics/metrics.go
+++ b/internal/tuf/tufmetrics/metrics.go
@@ -1,4 +1,4 @@
-// Package tufmetrics counts what a client of signed metadata does, as Prometheus metrics.
+// Package tufmetrics exports the events and the status of a TUF client as Prometheus metrics.
 package tufmetrics
 
 import (
@@ -11,7 +11,7 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// Metrics is a client's observer. The names and labels of the metrics are stable.
+// Metrics is a tuf.Observer that updates Prometheus metrics. The names and labels of the metrics are stable.
 type Metrics struct {
 	refreshes     *prometheus.CounterVec
 	fetches       *prometheus.CounterVec
@@ -25,21 +25,21 @@
 
 var _ tuf.Observer = (*Metrics)(nil)
 
-// New returns metrics that are registered at a registerer. It panics where one is registered already.
+// New creates the metrics and registers them with a registerer. It panics if one of them is already registered.
 func New(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		refreshes: counterVec("laurelring_tuf_refreshes_total", "Refreshes by the reason that they ended for.", "reason"),
-		fetches:   counterVec("laurelring_tuf_fetches_total", "Fetches of targets by the reason that they ended for.", "reason"),
-		attempts:  counterVec("laurelring_tuf_attempts_total", "Attempts at mirrors by how they ended.", "mirror", "how"),
+		refreshes: counterVec("laurelring_tuf_refreshes_total", "Metadata refreshes by result: trusted, or the reason of the failure.", "reason"),
+		fetches:   counterVec("laurelring_tuf_fetches_total", "Target fetches by result: trusted, or the reason of the failure.", "reason"),
+		attempts:  counterVec("laurelring_tuf_attempts_total", "Attempts at mirrors by outcome.", "mirror", "how"),
 		bytes: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "laurelring_tuf_bytes_total", Help: "Bytes that mirrors brought."}),
+			Name: "laurelring_tuf_bytes_total", Help: "Bytes received from mirrors."}),
 		refreshTime: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "laurelring_tuf_refresh_seconds", Help: "What a refresh took.",
+			Name: "laurelring_tuf_refresh_seconds", Help: "Duration of a metadata refresh.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}), // 5 ms to 41 s
-		mirrorBackoff: gaugeVec("laurelring_tuf_mirror_aside_seconds", "How long a mirror is still left alone.", "mirror"),
-		roleLifetime:  gaugeVec("laurelring_tuf_role_lasts_seconds", "How long a role's metadata last; below 0 they have expired.", "role"),
+		mirrorBackoff: gaugeVec("laurelring_tuf_mirror_aside_seconds", "Remaining backoff of a mirror.", "mirror"),
+		roleLifetime:  gaugeVec("laurelring_tuf_role_lasts_seconds", "Time until the metadata of a role expires; negative after its expiration.", "role"),
 		storeFailures: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "laurelring_tuf_unkept_total", Help: "Changes that the store did not keep."}),
+			Name: "laurelring_tuf_unkept_total", Help: "Failed attempts to store changed metadata."}),
 	}
 	registerer.MustRegister(m.refreshes, m.fetches, m.attempts, m.bytes, m.refreshTime, m.mirrorBackoff, m.roleLifetime, m.storeFailures)
 	return m
@@ -53,7 +53,7 @@
 	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 }
 
-// reasonLabel returns the label for an error of a refresh or fetch, which is nil for a success.
+// reasonLabel returns the label value for the error of a refresh or a fetch, "trusted" if it is nil.
 func reasonLabel(err error) string {
 	if err == nil {
 		return "trusted"
@@ -61,14 +61,14 @@
 	return verifiedmetadata.ReasonOf(err).String()
 }
 
-// RefreshFinished counts a refresh.
+// RefreshFinished counts a refresh and its bytes and records its duration.
 func (m *Metrics) RefreshFinished(err error, usage tuf.Usage) {
 	m.refreshes.WithLabelValues(reasonLabel(err)).Inc()
 	m.bytes.Add(float64(usage.Bytes))
 	m.refreshTime.Observe(usage.Duration.Seconds())
 }
 
-// FetchFinished counts a fetch of a target.
+// FetchFinished counts a fetch of a target and its bytes.
 func (m *Metrics) FetchFinished(err error, usage tuf.Usage) {
 	m.fetches.WithLabelValues(reasonLabel(err)).Inc()
 	m.bytes.Add(float64(usage.Bytes))
@@ -79,10 +79,10 @@
 	m.attempts.WithLabelValues(mirror, outcome.String()).Inc()
 }
 
-// StoreFailed counts a change that could not be stored.
+// StoreFailed counts a failed attempt to store changed metadata.
 func (m *Metrics) StoreFailed() { m.storeFailures.Inc() }
 
-// StatusReported sets the gauges of roles and mirrors.
+// StatusReported sets the gauges of roles and mirrors from a status.
 func (m *Metrics) StatusReported(status tuf.Status, now int64) {
 	for _, role := range status.Roles {
 		m.roleLifetime.WithLabelValues(role.Name).Set(time.Duration(role.Expires - now).Seconds())
--- a/internal/tuftest/fault.go
+++ b/internal/tuftest/fault.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Drip returns a fault that sends one byte an interval.
-func Drip(interval time.Duration) Fault {
+// SendByteEvery returns a fault that sends one byte an interval.
+func SendByteEvery(interval time.Duration) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
 			return false
@@ -85,8 +85,8 @@
 	}
 }
 
-// Endless is a fault that sends the file and then bytes without end, without a length.
-func Endless(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
+// EndlessData is a fault that sends the file and then bytes without end, without a length.
+func EndlessData(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 	if contents == nil {
 		return false
 	}
--- a/internal/tuftest/repository.go
+++ b/internal/tuftest/repository.go
@@ -44,30 +44,30 @@
 // Repository signs metadata and holds every file that a mirror could serve. Tests may alter its metadata and files to
 // publish what an honest repository would not. It is not safe for concurrent use.
 type Repository struct {
-	Files      map[string][]byte // by name
-	Keys       map[string][]*Key // by role
-	Root       *metadata.Metadata[metadata.RootType]
-	Timestamp  *metadata.Metadata[metadata.TimestampType]
-	Snapshot   *metadata.Metadata[metadata.SnapshotType]
-	Targets    map[string]*metadata.Metadata[metadata.TargetsType]
-	Validity   time.Duration // of metadata signed from now on
-	Now        func() time.Time
-	consistent bool
+	Files              map[string][]byte // by name
+	Keys               map[string][]*Key // by role
+	Root               *metadata.Metadata[metadata.RootType]
+	Timestamp          *metadata.Metadata[metadata.TimestampType]
+	Snapshot           *metadata.Metadata[metadata.SnapshotType]
+	Targets            map[string]*metadata.Metadata[metadata.TargetsType]
+	Validity           time.Duration // of metadata signed from now on
+	Now                func() time.Time
+	consistentSnapshot bool
 }
 
 // NewRepository returns a repository that has published a first version. The root has two keys and a threshold of two,
 // each other role one key. Consistent says whether it uses consistent snapshots.
-func NewRepository(consistent bool, now func() time.Time) *Repository {
+func NewRepository(consistentSnapshot bool, now func() time.Time) *Repository {
 	r := &Repository{
-		Files:      map[string][]byte{},
-		Keys:       map[string][]*Key{},
-		Targets:    map[string]*metadata.Metadata[metadata.TargetsType]{},
-		Validity:   time.Hour,
-		Now:        now,
-		consistent: consistent,
+		Files:              map[string][]byte{},
+		Keys:               map[string][]*Key{},
+		Targets:            map[string]*metadata.Metadata[metadata.TargetsType]{},
+		Validity:           time.Hour,
+		Now:                now,
+		consistentSnapshot: consistentSnapshot,
 	}
 	r.Root = metadata.Root(r.Expiry())
-	r.Root.Signed.ConsistentSnapshot = consistent
+	r.Root.Signed.ConsistentSnapshot = consistentSnapshot
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
 		r.AddKey(role)
 	}
@@ -144,20 +144,20 @@
 	file, err := metadata.TargetFile().FromBytes(path, contents, "sha256")
 	must(err)
 	if blockSize > 0 {
-		custom := listBlocks(contents, blockSize)
+		custom := blockHashList(contents, blockSize)
 		file.Custom = &custom
 	}
 	r.Targets[role].Signed.Targets[path] = file
 	name := path
-	if r.consistent {
+	if r.consistentSnapshot {
 		base := strings.LastIndexByte(path, '/') + 1
 		name = fmt.Sprintf("%s%x.%s", path[:base], []byte(file.Hashes["sha256"]), path[base:])
 	}
 	r.Files["targets/"+name] = contents
 }
 
-// listBlocks returns the custom field of a target with the hashes of its blocks.
-func listBlocks(contents []byte, blockSize int) json.RawMessage {
+// blockHashList returns the custom field of a target with the hashes of its blocks.
+func blockHashList(contents []byte, blockSize int) json.RawMessage {
 	var custom struct {
 		Blocks struct {
 			Size   int      `json:"size"`
@@ -203,11 +203,11 @@
 	}
 	r.Snapshot.Signed.Version++
 	r.Snapshot.Signed.Expires = r.Expiry()
-	r.PutSnapshot(Sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]...))
+	r.PublishSnapshot(Sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]...))
 }
 
-// PutSnapshot publishes a snapshot's contents and a timestamp that lists them.
-func (r *Repository) PutSnapshot(contents []byte) {
+// PublishSnapshot publishes a snapshot's contents and a timestamp that lists them.
+func (r *Repository) PublishSnapshot(contents []byte) {
 	r.addFile(metadata.SNAPSHOT, r.Snapshot.Signed.Version, contents)
 	r.Timestamp.Signed.Meta["snapshot.json"] = fileInfo(r.Snapshot.Signed.Version, contents)
 	r.PublishTimestamp()
@@ -221,7 +221,7 @@
 }
 
 func (r *Repository) addFile(role string, version int64, contents []byte) {
-	if r.consistent {
+	if r.consistentSnapshot {
 		r.Files[fmt.Sprintf("%d.%s.json", version, role)] = contents
 	} else {
 		r.Files[role+".json"] = contents
