--- a/internal/tuftest/fault.go
+++ b/internal/tuftest/fault.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Fault responds to a request in place of a mirror. Contents are those of the requested file, nil where there is none.
-// It returns false to let the mirror respond.
+// Fault responds to a request instead of a mirror, to simulate a failure or an attack. The contents are those of the
+// requested file, or nil if the mirror does not have it. A Fault returns false to let the mirror respond.
 type Fault func(response http.ResponseWriter, request *http.Request, name string, contents []byte) bool
 
-// OnlyFor returns a fault for the files alone whose names end in a suffix.
+// OnlyFor returns a fault that applies only to files whose names end in a suffix.
 func OnlyFor(suffix string, fault Fault) Fault {
 	return func(response http.ResponseWriter, request *http.Request, name string, contents []byte) bool {
 		return strings.HasSuffix(name, suffix) && fault(response, request, name, contents)
 	}
 }
 
-// rangeStart returns the offset at which a request's range starts, 0 without a range.
+// rangeStart returns the offset at which the requested range starts, or 0 without a range. It is at most the size.
 func rangeStart(request *http.Request, size int) int {
 	text := strings.TrimSuffix(strings.TrimPrefix(request.Header.Get("Range"), "bytes="), "-")
 	start, err := strconv.Atoi(text)
@@ -30,7 +30,8 @@
 	return min(start, size)
 }
 
-// sendPart sends a header that promises the rest of the file, and a part of that.
+// sendPart sends a header that announces the file from the requested offset to its end, but only the first part bytes
+// of that.
 func sendPart(response http.ResponseWriter, request *http.Request, contents []byte, part int) {
 	start := rangeStart(request, len(contents))
 	response.Header().Set("Content-Length", strconv.Itoa(len(contents)-start))
@@ -42,7 +43,8 @@
 	response.(http.Flusher).Flush()
 }
 
-// StallAfter returns a fault that sends a number of bytes, and then nothing while it keeps the connection open.
+// StallAfter returns a fault that sends a number of bytes and then stalls: it keeps the connection open and sends
+// nothing.
 func StallAfter(bytes int) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
@@ -54,7 +56,7 @@
 	}
 }
 
-// SendByteEvery returns a fault that sends one byte an interval.
+// SendByteEvery returns a fault that sends one byte per interval, as in a slow retrieval attack.
 func SendByteEvery(interval time.Duration) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
@@ -74,7 +76,7 @@
 	}
 }
 
-// CloseAfter returns a fault that closes the connection after a number of the promised bytes.
+// CloseAfter returns a fault that closes the connection after a number of the announced bytes.
 func CloseAfter(bytes int) Fault {
 	return func(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 		if contents == nil {
@@ -85,7 +87,8 @@
 	}
 }
 
-// EndlessData is a fault that sends the file and then bytes without end, without a length.
+// EndlessData is a fault that sends the file and then spaces until the client disconnects, without a Content-Length, as
+// in an endless data attack.
 func EndlessData(response http.ResponseWriter, request *http.Request, _ string, contents []byte) bool {
 	if contents == nil {
 		return false
@@ -99,7 +102,7 @@
 	return true
 }
 
-// RedirectTo returns a fault that redirects to the same file below another URL.
+// RedirectTo returns a fault that redirects to the same file name below another URL.
 func RedirectTo(url string) Fault {
 	return func(response http.ResponseWriter, request *http.Request, name string, _ []byte) bool {
 		http.Redirect(response, request, url+name, http.StatusFound)
@@ -107,7 +110,7 @@
 	}
 }
 
-// RespondWith returns a fault that sends other contents, whatever was requested.
+// RespondWith returns a fault that sends the given contents for every requested file.
 func RespondWith(other []byte) Fault {
 	return func(response http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
 		response.Write(other)
@@ -115,7 +118,7 @@
 	}
 }
 
-// Corrupt is a fault that flips a bit in the middle of the file.
+// Corrupt is a fault that sends the file with one bit flipped in the middle.
 func Corrupt(response http.ResponseWriter, _ *http.Request, _ string, contents []byte) bool {
 	if contents == nil {
 		return false
@@ -126,7 +129,7 @@
 	return true
 }
 
-// FailRequest is a fault that responds with an internal server error.
+// FailRequest is a fault that responds with status 500 (internal server error).
 func FailRequest(response http.ResponseWriter, _ *http.Request, _ string, _ []byte) bool {
 	response.WriteHeader(http.StatusInternalServerError)
 	return true
--- a/internal/tuftest/mirror.go
+++ b/internal/tuftest/mirror.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// Mirror serves a copy of a repository's files on loopback. It is safe for concurrent use.
+// Mirror is an HTTP server on loopback that serves a copy of a repository's files. It is safe for concurrent use.
 type Mirror struct {
 	URL       string       // ends in a slash
-	Requests  atomic.Int64 // received
-	BytesSent atomic.Int64 // of bodies
+	Requests  atomic.Int64 // number of requests received
+	BytesSent atomic.Int64 // bytes of response bodies
 
 	server *httptest.Server
 	closed chan struct{}
@@ -26,7 +26,7 @@
 	fault  Fault
 }
 
-// NewMirror starts a mirror of files, by name.
+// NewMirror starts a mirror that serves files, given by name.
 func NewMirror(files map[string][]byte) *Mirror {
 	m := &Mirror{files: maps.Clone(files), closed: make(chan struct{})}
 	m.server = httptest.NewServer(http.HandlerFunc(m.serve))
@@ -48,7 +48,7 @@
 	m.mu.Unlock()
 }
 
-// SetFault sets the fault that the mirror has from the next request on; nil removes it.
+// SetFault sets the fault that handles requests from the next one on; nil removes it.
 func (m *Mirror) SetFault(fault Fault) {
 	m.mu.Lock()
 	m.fault = fault
@@ -66,7 +66,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-m.closed: // ends faults that wait
+		case <-m.closed: // ends faults that are still waiting
 			cancel()
 		case <-ctx.Done():
 		}
@@ -83,7 +83,7 @@
 	http.ServeContent(counted, request, name, time.Time{}, bytes.NewReader(contents))
 }
 
-// countingWriter counts the bytes of a response's body.
+// countingWriter counts the bytes written to a response body.
 type countingWriter struct {
 	http.ResponseWriter
 	bytes *atomic.Int64
--- a/internal/tuftest/repository.go
+++ b/internal/tuftest/repository.go
@@ -1,5 +1,5 @@
-// Package tuftest provides a repository of signed metadata and targets, whose keys are generated at run time, and mirrors
-// of it on loopback whose faults a test can set. It serves tests alone, and panics where signing fails.
+// Package tuftest provides a TUF repository with keys generated at run time, and mirrors of it on loopback that can
+// simulate faults. It is only for tests and panics if signing fails.
 package tuftest
 
 import (
@@ -41,8 +41,8 @@
 	}
 }
 
-// Repository signs metadata and holds every file that a mirror could serve. Tests may alter its metadata and files to
-// publish what an honest repository would not. It is not safe for concurrent use.
+// Repository signs metadata and holds all files for mirrors to serve. Tests may change its metadata and files to
+// publish invalid or malicious ones. It is not safe for concurrent use.
 type Repository struct {
 	Files              map[string][]byte // by name
 	Keys               map[string][]*Key // by role
@@ -50,13 +50,13 @@
 	Timestamp          *metadata.Metadata[metadata.TimestampType]
 	Snapshot           *metadata.Metadata[metadata.SnapshotType]
 	Targets            map[string]*metadata.Metadata[metadata.TargetsType]
-	Validity           time.Duration // of metadata signed from now on
+	Validity           time.Duration // time from signing to expiration, for metadata signed from now on
 	Now                func() time.Time
 	consistentSnapshot bool
 }
 
 // NewRepository returns a repository that has published a first version. The root has two keys and a threshold of two,
-// each other role one key. Consistent says whether it uses consistent snapshots.
+// each other role has one key. The argument consistentSnapshot selects consistent snapshots.
 func NewRepository(consistentSnapshot bool, now func() time.Time) *Repository {
 	r := &Repository{
 		Files:              map[string][]byte{},
@@ -82,10 +82,10 @@
 	return r
 }
 
-// Expiry returns when metadata expire that are signed now.
+// Expiry returns the expiration time of metadata that is signed now.
 func (r *Repository) Expiry() time.Time { return r.Now().Add(r.Validity).UTC().Truncate(time.Second) }
 
-// AddKey gives a role one more key, effective with the next signing.
+// AddKey adds a new key to a top-level role. The change takes effect with the next signed root.
 func (r *Repository) AddKey(role string) *Key {
 	key := NewKey()
 	r.Keys[role] = append(r.Keys[role], key)
@@ -93,7 +93,7 @@
 	return key
 }
 
-// ReplaceKeys gives a role one new key in place of all that it had.
+// ReplaceKeys revokes all keys of a top-level role and adds one new key.
 func (r *Repository) ReplaceKeys(role string) {
 	for _, key := range r.Keys[role] {
 		id, err := key.public.ID()
@@ -104,13 +104,14 @@
 	r.AddKey(role)
 }
 
-// SignRoot signs the current root with keys and publishes it as its version.
+// SignRoot signs the current root with keys and publishes it under its version number.
 func (r *Repository) SignRoot(keys []*Key) {
 	r.Root.Signed.Expires = r.Expiry()
 	r.Files[fmt.Sprintf("%d.root.json", r.Root.Signed.Version)] = Sign(r.Root, keys...)
 }
 
-// PublishRoot publishes a root of the next version with a change, signed by the previous and the new root keys.
+// PublishRoot applies a change to the root and publishes it as the next version, signed with the previous and the new
+// root keys.
 func (r *Repository) PublishRoot(change func()) {
 	previous := r.Keys[metadata.ROOT]
 	signers := slices.Clone(previous)
@@ -124,10 +125,10 @@
 	r.SignRoot(signers)
 }
 
-// InitialRoot returns the first root, which an operator would be given out of band.
+// InitialRoot returns version 1 of the root metadata, which an operator would receive out of band.
 func (r *Repository) InitialRoot() []byte { return r.Files["1.root.json"] }
 
-// Sign signs any metadata with keys, also ones that an honest repository would not use.
+// Sign returns metadata signed with the given keys only, which need not be keys of its role.
 func Sign[T metadata.Roles](unsigned *metadata.Metadata[T], keys ...*Key) []byte {
 	unsigned.ClearSignatures()
 	for _, key := range keys {
@@ -139,7 +140,8 @@
 	return contents
 }
 
-// AddTarget lists a target in a role. A block size above 0 makes the role list the hash of each block as well.
+// AddTarget lists a target in a role and adds its file. With a block size above 0 the role also lists the hash of each
+// block.
 func (r *Repository) AddTarget(role, path string, contents []byte, blockSize int) {
 	file, err := metadata.TargetFile().FromBytes(path, contents, "sha256")
 	must(err)
@@ -156,7 +158,7 @@
 	r.Files["targets/"+name] = contents
 }
 
-// blockHashList returns the custom field of a target with the hashes of its blocks.
+// blockHashList returns the custom field of a target, which lists the SHA-256 hashes of its blocks.
 func blockHashList(contents []byte, blockSize int) json.RawMessage {
 	var custom struct {
 		Blocks struct {
@@ -173,7 +175,8 @@
 	return encoded
 }
 
-// Delegate makes a role delegate paths to another role, which gets a key of its own.
+// Delegate adds a delegation of paths from one targets role to another, with a threshold of one. A new role gets a key
+// of its own.
 func (r *Repository) Delegate(from, to string, terminating bool, paths ...string) {
 	if r.Keys[to] == nil {
 		r.Keys[to] = []*Key{NewKey()}
@@ -192,7 +195,7 @@
 		Terminating: terminating, Paths: paths})
 }
 
-// Publish signs the next version of all targets roles, the snapshot and the timestamp.
+// Publish signs and publishes the next version of all targets roles, the snapshot and the timestamp.
 func (r *Repository) Publish() {
 	for role, targets := range r.Targets {
 		targets.Signed.Version++
@@ -206,20 +209,21 @@
 	r.PublishSnapshot(Sign(r.Snapshot, r.Keys[metadata.SNAPSHOT]...))
 }
 
-// PublishSnapshot publishes a snapshot's contents and a timestamp that lists them.
+// PublishSnapshot publishes the contents of a signed snapshot and a new timestamp that lists their length and hash.
 func (r *Repository) PublishSnapshot(contents []byte) {
 	r.addFile(metadata.SNAPSHOT, r.Snapshot.Signed.Version, contents)
 	r.Timestamp.Signed.Meta["snapshot.json"] = fileInfo(r.Snapshot.Signed.Version, contents)
 	r.PublishTimestamp()
 }
 
-// PublishTimestamp signs the next version of the timestamp.
+// PublishTimestamp signs and publishes the next version of the timestamp.
 func (r *Repository) PublishTimestamp() {
 	r.Timestamp.Signed.Version++
 	r.Timestamp.Signed.Expires = r.Expiry()
 	r.Files["timestamp.json"] = Sign(r.Timestamp, r.Keys[metadata.TIMESTAMP]...)
 }
 
+// addFile adds a metadata file of a role, with the version in its name if consistent snapshots are used.
 func (r *Repository) addFile(role string, version int64, contents []byte) {
 	if r.consistentSnapshot {
 		r.Files[fmt.Sprintf("%d.%s.json", version, role)] = contents
@@ -228,10 +232,11 @@
 	}
 }
 
+// fileInfo returns the version, length and hash of a metadata file, as a snapshot or timestamp lists them.
 func fileInfo(version int64, contents []byte) *metadata.MetaFiles {
 	digest := sha256.Sum256(contents)
 	return &metadata.MetaFiles{Length: int64(len(contents)), Version: version, Hashes: metadata.Hashes{"sha256": digest[:]}}
 }
 
-// CopyFiles returns the files as they are now.
+// CopyFiles returns a copy of the map of current files.
 func (r *Repository) CopyFiles() map[string][]byte { return maps.Clone(r.Files) }
