--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxBuilds         = 64 // builds that are checked periodically; beyond it the oldest are dropped
-	maxQueuedRequests = 64
-	checkPeriod       = 5 * time.Second // an expiration is reported at the next check, up to about this late
-	removalPeriod     = time.Hour
-	minWait           = time.Millisecond // between two queries of the scheduler
-	jobDescriptors    = 2                // file descriptors that a fetching job holds
+	maxBuilds       = 64 // builds that are checked periodically; above this number the oldest is dropped
+	maxQueuedBuilds = 64
+	checkPeriod     = 5 * time.Second // an expiration is reported at the next check, up to about this late
+	removalPeriod   = time.Hour
+	minWait         = time.Millisecond // between two queries of the scheduler
+	jobDescriptors  = 2                // file descriptors that a fetching job holds
 )
 
 // Agent runs in the background of a gateway: it refreshes metadata, reports which builds are verified and removes
@@ -49,7 +49,7 @@
 		scheduler:       schedule.New(seed, schedule.DefaultLimits),
 		requestsWaiting: requestsWaiting,
 		onBuildChecked:  onBuildChecked,
-		buildRequests:   make(chan int, maxQueuedRequests),
+		buildRequests:   make(chan int, maxQueuedBuilds),
 		started:         time.Now(),
 		refreshJob:      &schedule.Job{Name: "refresh", Priority: 2, Period: period, Descriptors: jobDescriptors},
 		checkJob:        &schedule.Job{Name: "builds", Priority: 1, Period: min(period, checkPeriod), Descriptors: jobDescriptors},
