--- a/internal/tuf/agent.go
+++ b/internal/tuf/agent.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxBuilds       = 64 // builds that are checked periodically; above this number the oldest is dropped
-	maxQueuedBuilds = 64 // requested builds that Run has not received yet; further requests are dropped
+	maxBuilds       = 64              // builds that are checked periodically; above this number the oldest is dropped
+	maxQueuedBuilds = 64              // requested builds that Run has not received yet; further requests are dropped
 	checkPeriod     = 5 * time.Second // an expiration is reported at the next check, up to about this late
 	removalPeriod   = time.Hour
 	minWait         = time.Millisecond // between two queries of the scheduler
