--- a/cmd/gateway/build.go
+++ b/cmd/gateway/build.go
@@ -17,31 +17,31 @@
 	"laurelring/internal/tuf"
 )
 
-// gateway is the parts of one gateway.
+// gateway holds the components of one gateway.
 type gateway struct {
 	configuration *configuration
 	log           *slog.Logger
 
-	// What the parts share.
+	// Shared by the components.
 	clock      func() monotonic.Time
-	random     *seededrand.Source // spreads polls and reconnects of a fleet
+	random     *seededrand.Source // jitter for polls and reconnects, so that those of a fleet spread out
 	budget     *transport.DescriptorBudget
 	limitedLog *transport.RateLimitedLog
 
 	router    *routing.Router
 	endpoints *transport.EndpointPool
 	clients   *transport.ClientServer
-	listener  net.Listener // of clients
+	listener  net.Listener // for client connections
 	discovery *transport.DiscoveryClient
 	rollout   *transport.RolloutClient
-	peers     *transport.PeerSocket // nil where gateways have no addresses for messages
-	agent     *tuf.Agent            // nil without an operator's file for signed metadata
+	peers     *transport.PeerSocket // nil if the configuration has no peer listen address
+	agent     *tuf.Agent            // nil without an operator's file
 
-	clientsFailed chan error // the error that ends the listener
-	closers       []func()   // what close has to call, the last first
+	serveErr chan error // receives the error with which serving clients ends
+	closers  []func()   // called by close, the last one first
 }
 
-// newGateway builds the parts and opens their sockets. Nothing runs yet.
+// newGateway builds the components and opens their sockets. It starts no component.
 func newGateway(ctx context.Context, c *configuration, log *slog.Logger) (*gateway, error) {
 	g := &gateway{
 		configuration: c,
@@ -50,7 +50,7 @@
 		random:        seededrand.New(c.file.Seed),
 		budget:        transport.NewDescriptorBudget(c.file.Limits.Descriptors),
 		limitedLog:    &transport.RateLimitedLog{},
-		clientsFailed: make(chan error, 1),
+		serveErr:      make(chan error, 1),
 	}
 	if err := g.build(ctx); err != nil {
 		g.close()
@@ -59,13 +59,14 @@
 	return g, nil
 }
 
-// newClock returns the gateway's monotonic clock: it begins at the time of day and does not follow changes of that.
+// newClock returns the gateway's monotonic clock. It starts at the current wall-clock time and does not follow later
+// changes of the wall clock.
 func newClock() func() monotonic.Time {
 	started := time.Now()
 	return func() monotonic.Time { return time.Duration(started.UnixNano()) + time.Since(started) }
 }
 
-// build makes the parts in the order in which they need one another.
+// build creates the components in the order of their dependencies.
 func (g *gateway) build(ctx context.Context) error {
 	if err := g.buildEndpointPool(); err != nil {
 		return err
@@ -101,7 +102,7 @@
 		Log:            g.limitedLog,
 		Clock:          g.clock,
 		ConnectTimeout: g.configuration.settings.ConnectTimeout,
-		IdleTimeout:    g.configuration.settings.IdleTimeout / 2, // before the endpoint closes the connection
+		IdleTimeout:    g.configuration.settings.IdleTimeout / 2, // to close connections before the endpoint does
 	})
 	return err
 }
@@ -121,12 +122,12 @@
 		return err
 	}
 	g.peers = peers
-	g.onClose(peers.Close)
+	g.addCloser(peers.Close)
 	return nil
 }
 
-// buildMetadataAgent makes the agent that keeps signed metadata fresh where there is an operator's file, and returns the
-// driver that verifies builds, nil where builds are not verified.
+// buildMetadataAgent creates the agent that keeps signed metadata fresh if an operator's file is configured. It returns
+// the driver that verifies builds, or nil if builds need no verification.
 func (g *gateway) buildMetadataAgent() (verifyBuild func(build int), err error) {
 	if g.configuration.operatorFile == "" {
 		return nil, nil
@@ -140,8 +141,8 @@
 	if err != nil {
 		return nil, err
 	}
-	g.onClose(func() { store.Close() })
-	g.onClose(func() { client.Close() })
+	g.addCloser(func() { store.Close() })
+	g.addCloser(func() { client.Close() })
 	g.agent = tuf.NewAgent(operator, client, seed,
 		func() bool { return g.router.HasQueuedRequests() },
 		func(build int, verified bool) { g.router.BuildVerified(build, verified) })
@@ -152,7 +153,8 @@
 	return g.agent.CheckBuild, nil
 }
 
-// buildRouter makes the router. Its drivers use clients that are built after it: it calls them once it runs.
+// buildRouter creates the router. Its drivers refer to clients that are built later, as the router calls them only once
+// it runs.
 func (g *gateway) buildRouter(ctx context.Context, verifyBuild func(build int)) (err error) {
 	sendDatagram := func(int, []byte, monotonic.Time) {}
 	if g.peers != nil {
@@ -178,15 +180,16 @@
 	return err
 }
 
-// newGossipExchange makes the exchange of views of the endpoint list, nil where there is nobody to exchange them with.
+// newGossipExchange creates the exchange of endpoint list views with other gateways, or returns nil if there are no
+// gateways to exchange messages with.
 func (g *gateway) newGossipExchange() *gossip.Exchange {
 	c := g.configuration
 	if !c.exchangesMessages() {
 		return nil
 	}
 	return gossip.NewExchange(gossip.Config{
-		Rank:     c.decisions.Rank,
-		Gateways: c.decisions.Gateways,
+		Rank:     c.balancerConfig.Rank,
+		Gateways: c.balancerConfig.Gateways,
 		Revision: c.endpointList.Revision,
 		Random:   seededrand.New(c.file.Seed).Int64N,
 	}, g.clock())
@@ -223,8 +226,8 @@
 	return err
 }
 
-// receiveEndpointList passes a list of discovery on to the router and returns its revision. A full list was asked for
-// from no revision on.
+// receiveEndpointList passes an endpoint list from discovery on to the router and returns its revision. Full means that
+// the list was requested without a held revision.
 func (g *gateway) receiveEndpointList(text []byte, full bool) (revision int64, err error) {
 	list, err := g.configuration.parseEndpointList(text)
 	if err != nil {
@@ -233,14 +236,15 @@
 	return list.Revision, g.router.EndpointListReceived(routing.EndpointListUpdate{List: list, Full: full})
 }
 
-// buildClientServer opens the listener: clients may connect from here on, and are served once the gateway has started.
+// buildClientServer opens the client listener and creates the server. Clients can connect from then on and are served
+// once the gateway has started.
 func (g *gateway) buildClientServer() error {
 	listener, err := net.Listen("tcp", g.configuration.file.Listen)
 	if err != nil {
 		return err
 	}
 	g.listener = listener
-	g.onClose(func() { listener.Close() })
+	g.addCloser(func() { listener.Close() })
 	g.clients, err = transport.NewClientServer(transport.ClientServerConfig{
 		Budget:          g.budget,
 		Log:             g.limitedLog,
@@ -255,10 +259,10 @@
 	return err
 }
 
-// onClose has close call a function, before those that it was given earlier.
-func (g *gateway) onClose(closer func()) { g.closers = append(g.closers, closer) }
+// addCloser registers a function that close calls before the functions registered earlier.
+func (g *gateway) addCloser(closer func()) { g.closers = append(g.closers, closer) }
 
-// close closes what was opened, the last first.
+// close calls the registered closers, the last one first, each of them once.
 func (g *gateway) close() {
 	for len(g.closers) > 0 {
 		last := len(g.closers) - 1
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,9 +1,9 @@
-// Command gateway is one gateway on real sockets.
+// Command gateway runs one gateway on real sockets.
 //
-// It starts from the configuration file that RELAY_CONFIG names, and from an operator's file for signed metadata if
-// RELAY_TRUST names one. RELAY_LOG_LEVEL sets from which level on it logs to standard error. SIGHUP has it read both files
-// again; on SIGTERM or SIGINT it answers what it has accepted and ends with status 0. A fault that ends it is printed in
-// one line, with status 1.
+// It reads the configuration file that RELAY_CONFIG names and, if RELAY_TRUST is set, the operator's file for signed
+// metadata that RELAY_TRUST names. RELAY_LOG_LEVEL sets the minimum level of the log on standard error. On SIGHUP it reads
+// both files again. On SIGTERM or SIGINT it answers the requests that it has accepted and exits with status 0. It prints a
+// fatal error in one line and exits with status 1.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1) // before all else: a signal may come at once
+	shutdown, reload := make(chan os.Signal, 1), make(chan os.Signal, 1) // first, as a signal may arrive at any time
 	signal.Notify(shutdown, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
 	if err := runFile(os.Getenv("RELAY_CONFIG"), shutdown, reload); err != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// runFile runs a gateway from a configuration file.
+// runFile runs a gateway from the configuration file at path until it has shut down.
 func runFile(path string, shutdown, reload <-chan os.Signal) error {
 	if path == "" {
 		return errors.New("RELAY_CONFIG is not set")
@@ -37,8 +37,8 @@
 	return run(text, func() ([]byte, error) { return os.ReadFile(path) }, shutdown, reload)
 }
 
-// run runs a gateway from the text of a configuration until it has shut down. It calls reread for the text as it is by
-// then each time it is to reload.
+// run runs a gateway from the text of a configuration until it has shut down. On each reload it calls reread for the
+// current text.
 func run(text []byte, reread func() ([]byte, error), shutdown, reload <-chan os.Signal) error {
 	config, err := parseConfiguration(text)
 	if err != nil {
--- a/cmd/gateway/start.go
+++ b/cmd/gateway/start.go
@@ -7,12 +7,12 @@
 	"laurelring/internal/routing"
 )
 
-// start runs the parts, until the context ends, and begins to serve clients. close calls stop, which has to end the
-// context, where something must end before what it uses is closed.
+// start starts the components, which run until the context ends, and begins to serve clients. Stop must cancel the
+// context: close calls it where a component has to end before a resource that it uses is closed.
 func (g *gateway) start(ctx context.Context, stop context.CancelFunc) error {
 	c := g.configuration
 	go g.router.Run(ctx)
-	// Before anybody else brings an event: the first requests find endpoints.
+	// The list comes before all other events, so that the first requests find endpoints.
 	if err := g.router.EndpointListReceived(routing.EndpointListUpdate{List: c.endpointList, Cached: true}); err != nil {
 		return err
 	}
@@ -20,39 +20,40 @@
 	if g.agent != nil {
 		g.startMetadataAgent(ctx, stop)
 	}
-	if !c.decisions.PollDiscovery {
+	if !c.balancerConfig.PollDiscovery {
 		go g.discovery.KeepWatching(ctx)
 	}
 	if g.peers != nil {
 		go g.peers.Run(g.router.DatagramReceived, g.limitedLog)
 	}
-	go func() { g.clientsFailed <- g.clients.Serve(g.listener) }()
+	go func() { g.serveErr <- g.clients.Serve(g.listener) }()
 	limits := c.file.Limits
 	g.log.Info("serving", "address", c.file.Listen, "memory_bytes", limits.MemoryBytes, "descriptors", limits.Descriptors)
 	return nil
 }
 
-// startMetadataAgent runs the agent, which uses the store until it has ended.
+// startMetadataAgent runs the agent. As the agent uses the store, close waits for it to end before it closes the store.
 func (g *gateway) startMetadataAgent(ctx context.Context, stop context.CancelFunc) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		g.agent.Run(ctx)
 	}()
-	g.onClose(func() {
+	g.addCloser(func() {
 		stop()
 		<-ended
 	})
 }
 
-// handleSignals reloads and shuts down as signals ask for it, until the gateway has shut down or its listener failed.
+// handleSignals reloads the configuration and shuts the gateway down on signals. It returns once the gateway has shut
+// down, or with the error of its listener.
 func (g *gateway) handleSignals(reread func() ([]byte, error), shutdown, reload <-chan os.Signal) error {
-	var finished <-chan int // nil until a signal has begun the shutdown
+	var finished <-chan int // nil until the shutdown begins
 	for {
 		select {
-		case err := <-g.clientsFailed:
+		case err := <-g.serveErr:
 			return err
-		case <-reload: // during the shutdown too: discovery and the rollout controller may move then as at any time
+		case <-reload: // also during shutdown, as discovery and the rollout controller may still move
 			g.reload(reread)
 		case signal := <-shutdown:
 			if finished == nil {
--- a/cmd/gatewayctl/exit.go
+++ b/cmd/gatewayctl/exit.go
@@ -6,13 +6,13 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
 	exitOK          = 0
-	exitUsage       = 1 // the command line or the operator's file
-	exitNotTrusted  = 2
-	exitUnavailable = 3 // no mirror delivered it in time
-	exitStore       = 4 // the store is in use, or fails
+	exitUsage       = 1 // an error in the command line or the operator's file
+	exitNotTrusted  = 2 // verification failed
+	exitUnavailable = 3 // no mirror delivered the file in time
+	exitStore       = 4 // the store is in use by another process, or failed
 )
 
 // exitError is an error with an exit status.
@@ -25,7 +25,7 @@
 
 func (e *exitError) Unwrap() error { return e.err }
 
-// statusOf returns the exit status of an error; one without a status is of the command line.
+// statusOf returns the exit status of an error. An error without a status counts as a command-line error.
 func statusOf(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
@@ -34,7 +34,7 @@
 	return exitUsage
 }
 
-// verificationError gives an error of a client its exit status.
+// verificationError wraps an error of the metadata client with its exit status.
 func verificationError(err error) error {
 	status := exitNotTrusted
 	if verifiedmetadata.ReasonOf(err) == verifiedmetadata.ReasonUnavailable {
--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -1,4 +1,4 @@
-// Command gatewayctl is the operator's command line for signed metadata.
+// Command gatewayctl is the operator's command-line tool for signed metadata.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is what kong parses. The names of its fields are those of commands and flags.
+// commandLine holds the arguments that kong parses. Kong derives the names of commands and flags from its field names.
 type commandLine struct {
 	Tuf struct {
 		File    string `help:"The operator's file." default:"deploy/trust.json" type:"path"`
@@ -31,7 +31,7 @@
 	} `cmd:"" help:"What the release desk has signed."`
 }
 
-// The commands, as kong names them.
+// The names of the commands, as kong reports them.
 const (
 	commandRefresh = "tuf refresh"
 	commandFetch   = "tuf fetch <name>"
@@ -44,7 +44,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr, func() int64 { return time.Now().UnixNano() }))
 }
 
-// run executes one command line and returns the exit status. Now is the wall clock in ns since the Unix epoch.
+// run executes one command line and returns the exit status. Now returns the wall-clock time in ns since the Unix epoch.
 func run(ctx context.Context, args []string, out, errorOut io.Writer, now func() int64) int {
 	var line commandLine
 	command, err := parse(&line, args, out, errorOut)
@@ -61,10 +61,10 @@
 	return output.printError(err)
 }
 
-// errHelpPrinted ends the parsing after the help was printed.
+// errHelpPrinted stops parsing after the help text was printed.
 var errHelpPrinted = errors.New("help printed")
 
-// parse parses the arguments and returns the command, or errHelpPrinted.
+// parse parses the arguments into line and returns the name of the command, or errHelpPrinted.
 func parse(line *commandLine, args []string, out, errorOut io.Writer) (command string, err error) {
 	printHelp := func(options kong.HelpOptions, ctx *kong.Context) error {
 		if err := kong.DefaultHelpPrinter(options, ctx); err != nil {
@@ -87,7 +87,8 @@
 	return parsed.Command(), nil
 }
 
-// execute runs a command on the client that the operator's file describes.
+// execute runs a command in a session on the operator's file. An error of the command takes precedence over an error of
+// closing the session.
 func execute(ctx context.Context, line *commandLine, command string, output output, now func() int64) error {
 	s, err := openSession(line, output, now)
 	if err != nil {
--- a/cmd/gatewayctl/output.go
+++ b/cmd/gatewayctl/output.go
@@ -13,14 +13,14 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// output prints results as text for people, or as JSON for programs.
+// output prints results as text, or as JSON for programs.
 type output struct {
 	out      io.Writer
 	errorOut io.Writer
 	json     bool
 }
 
-// result is what a command prints. Its JSON form is read by operators' programs; keys are in alphabetical order.
+// result is the result of a command. Operators' programs read its JSON form, whose keys are in alphabetical order.
 type result interface {
 	printText(out io.Writer)
 }
@@ -37,7 +37,7 @@
 type errorResult struct {
 	Error  string `json:"error"`
 	OK     bool   `json:"ok"`
-	Reason string `json:"reason"` // of a verification error, otherwise empty
+	Reason string `json:"reason"` // reason of a verification error, otherwise empty
 	Status int    `json:"status"`
 }
 
@@ -82,9 +82,9 @@
 
 type verifyResult struct {
 	OK      bool              `json:"ok"`
-	Targets map[string]string `json:"targets"` // "trusted" or an error, by path
+	Targets map[string]string `json:"targets"` // "trusted" or the error text, by path
 
-	paths []string // in the order of the text
+	paths []string // paths of the targets, in the order of the text output
 }
 
 func (r verifyResult) printText(out io.Writer) {
--- a/cmd/gatewayctl/session.go
+++ b/cmd/gatewayctl/session.go
@@ -12,7 +12,7 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// session is one command on an open client.
+// session holds the open client and store that one command runs on.
 type session struct {
 	line     *commandLine
 	config   *tuf.OperatorConfig
@@ -23,7 +23,7 @@
 	now      func() int64
 }
 
-// openSession opens the client and the store that the operator's file describes. The caller closes the session.
+// openSession opens the client and the store that the operator's file describes. The caller must close the session.
 func openSession(line *commandLine, output output, now func() int64) (*session, error) {
 	config, err := tuf.LoadOperatorConfig(line.Tuf.File)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return &session{line, config, client, opened, registry, output, now}, nil
 }
 
-// close closes the client and the store, and writes the metrics where a file is set. It returns the first error.
+// close closes the client and the store, and writes the metrics if a metrics file is set. It returns the first error.
 func (s *session) close() error {
 	var firstErr error
 	s.client.Close()
@@ -90,7 +90,8 @@
 	return s.output.print(fetchResult{Length: target.Length, OK: true, Role: target.Role, Usage: usage, Target: target.Path})
 }
 
-// ensureValid refreshes where the stored metadata are not valid now. Without a folder each call has to.
+// ensureValid refreshes the metadata if the stored metadata is not valid now. It always refreshes if the store is in
+// memory.
 func (s *session) ensureValid(ctx context.Context) error {
 	if !s.store.InMemory() && s.client.Status().Trust == tuf.StatusTrusted {
 		return nil
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// verify compares one fetched target, or all of them, with what is listed now. The error is that of the last one that
-// differs.
+// verify compares one fetched target, or all fetched targets if path is empty, with the trusted metadata. If several
+// targets fail, it returns the error of the last one.
 func (s *session) verify(path string) error {
 	paths := []string{path}
 	if path == "" {
