--- a/cmd/gateway/configuration.go
+++ b/cmd/gateway/configuration.go
@@ -48,7 +48,7 @@
 	if c.endpointList, err = c.parseEndpointList(file.EndpointList); err != nil {
 		return nil, fmt.Errorf(`field "known": %w`, err)
 	}
-	if c.logLevel, err = parseLogLevel(os.Getenv("RELAY_LOG_LEVEL")); err != nil {
+	if c.logLevel, err = logLevel(os.Getenv("RELAY_LOG_LEVEL")); err != nil {
 		return nil, err
 	}
 	c.operatorFile = os.Getenv("RELAY_TRUST")
@@ -90,8 +90,8 @@
 	return log
 }
 
-// parseLogLevel parses the minimum level of the log: debug, info, warn or error. Empty text means info.
-func parseLogLevel(text string) (slog.Level, error) {
+// logLevel parses the minimum level of the log: debug, info, warn or error. Empty text means info.
+func logLevel(text string) (slog.Level, error) {
 	var level slog.Level
 	if text == "" {
 		return slog.LevelInfo, nil
