--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,9 +1,9 @@
 // Command gateway runs one gateway on real sockets.
 //
 // It reads the configuration file that RELAY_CONFIG names and, if RELAY_TRUST is set, the operator's file for signed
-// metadata that RELAY_TRUST names. RELAY_LOG_LEVEL sets the minimum level of the log on standard error. On SIGHUP it reads
-// both files again. On SIGTERM or SIGINT it answers the requests that it has accepted and exits with status 0. It prints a
-// fatal error in one line and exits with status 1.
+// metadata that RELAY_TRUST names. RELAY_LOG_LEVEL sets the minimum level of the log on standard error. On SIGHUP it
+// reads both files again. On SIGTERM or SIGINT it answers the requests that it has accepted and exits with status 0. It
+// prints a fatal error in one line and exits with status 1.
 package main
 
 import (
--- a/cmd/gateway/shutdown.go
+++ b/cmd/gateway/shutdown.go
@@ -8,8 +8,8 @@
 const (
 	// acceptPeriod is how long a gateway serves as usual after SIGTERM. Clients may open connections for 0.4 s of it.
 	acceptPeriod = 700 * time.Millisecond
-	// killDelay is the time from the end of acceptPeriod after which the process may be killed, if a client's deadline can
-	// be that long. Requests that are unanswered by then are lost.
+	// killDelay is the time from the end of acceptPeriod after which the process may be killed, if a client's deadline
+	// can be that long. Requests that are unanswered by then are lost.
 	killDelay = 3 * time.Second
 	// killMargin is how long before the kill all requests must be answered.
 	killMargin = 300 * time.Millisecond
