--- a/cmd/gateway/build.go
+++ b/cmd/gateway/build.go
@@ -226,8 +226,8 @@
 	return err
 }
 
-// receiveEndpointList passes an endpoint list from discovery on to the router and returns its revision. Full means that
-// the list was requested without a held revision.
+// receiveEndpointList passes an endpoint list from discovery on to the router and returns its revision. full is true if
+// discovery was asked for the full list rather than for changes after a revision.
 func (g *gateway) receiveEndpointList(text []byte, full bool) (revision int64, err error) {
 	list, err := g.configuration.parseEndpointList(text)
 	if err != nil {
--- a/cmd/gateway/metadata_test.go
+++ b/cmd/gateway/metadata_test.go
@@ -21,7 +21,7 @@
 	"laurelring/internal/tuftest"
 )
 
-// signedBuild is the target that verifies build 1.
+// signedBuild is the target whose signature verifies build 1.
 const signedBuild = "builds/1.json"
 
 // writeOperatorFile writes an operator's file for signed metadata and the initial root that it names. It returns the
--- a/cmd/gateway/start.go
+++ b/cmd/gateway/start.go
@@ -7,8 +7,8 @@
 	"laurelring/internal/routing"
 )
 
-// start starts the components, which run until the context ends, and begins to serve clients. Stop must cancel the
-// context: close calls it where a component has to end before a resource that it uses is closed.
+// start starts the components, which run until ctx ends, and begins to serve clients. The stop function must cancel ctx:
+// close calls it where a component has to end before a resource that it uses is closed.
 func (g *gateway) start(ctx context.Context, stop context.CancelFunc) error {
 	c := g.configuration
 	go g.router.Run(ctx)
--- a/cmd/gateway/vote_test.go
+++ b/cmd/gateway/vote_test.go
@@ -8,8 +8,8 @@
 	"laurelring/internal/gatewaytest"
 )
 
-// A single gateway votes to promote a canary build that serves well, but not before the build's endpoint has run for 3
-// s. The vote is a call of the controller's verdict method and names the build and stage of the rollout status.
+// A single gateway votes to promote a canary build that serves well, but not before the build's endpoint has run for
+// 3 s. The vote is a call of the controller's verdict method and names the build and stage of the rollout status.
 func TestVotesToPromoteGoodBuild(t *testing.T) {
 	gateway := startGatewayWith(t, 1024, strings.Replace(gatewaytest.Settings, `"balancers":2`, `"balancers":1`, 1))
 	stable, canary := gatewaytest.ReadyEndpoint("s-1", gateway.endpoint.Listen()), gatewaytest.ReadyEndpoint("s-2", gateway.endpoint.Listen())
--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -44,7 +44,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr, func() int64 { return time.Now().UnixNano() }))
 }
 
-// run executes one command line and returns the exit status. Now returns the wall-clock time in ns since the Unix
+// run executes one command line and returns the exit status. now returns the wall-clock time in ns since the Unix
 // epoch.
 func run(ctx context.Context, args []string, out, errorOut io.Writer, now func() int64) int {
 	var line commandLine
