--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -10,8 +10,8 @@
 	"laurelring/internal/protocol"
 )
 
-// lateOutcomePoll is how long an overdue attempt that has finished by itself is left, again and again, until its outcome
-// has arrived.
+// lateOutcomePoll is the interval at which the router checks again on an overdue attempt that has already finished,
+// until the event with its outcome has been processed.
 const lateOutcomePoll = time.Millisecond
 
 // activeAttempt is an attempt in flight.
@@ -21,21 +21,21 @@
 	handle    AttemptHandle
 	startedAt monotonic.Time
 	cancelAt  monotonic.Time
-	sequence  int // in the order in which attempts were started
-	heapIndex int // among the timers
+	sequence  int // number of the attempt in the order in which attempts were started
+	heapIndex int // position in the heap of timers
 }
 
-// startAttempt forwards a request to an endpoint.
-func (r *Router) startAttempt(request *activeRequest, verdict decision.Decision, now monotonic.Time) {
+// startAttempt starts an attempt to forward a request to the endpoint that the balancer chose.
+func (r *Router) startAttempt(request *activeRequest, decided decision.Decision, now monotonic.Time) {
 	attempt := &activeAttempt{
 		request:   request,
-		state:     verdict.Attempt,
+		state:     decided.Attempt,
 		startedAt: now,
-		cancelAt:  now + verdict.Timeout,
+		cancelAt:  now + decided.Timeout,
 	}
 	request.attempts[attempt.state] = attempt
 	r.timers.add(attempt)
-	endpoint := r.endpoints.byDecision[verdict.Endpoint]
+	endpoint := r.endpoints.byEndpoint[decided.Endpoint]
 	r.requestLog.attemptStarted(request.id, endpoint, r.list.revision, attempt.state.Number())
 	attempt.handle = r.drivers.StartAttempt(AttemptRequest{
 		Address:   endpoint.listed.Address,
@@ -54,8 +54,9 @@
 	})
 }
 
-// attemptConnected decides again on an attempt whose connection has been established: meanwhile its client may have left, its
-// endpoint may drain, or the process may have stalled.
+// attemptConnected sends or withholds an attempt whose connection has been established. It asks the balancer again
+// because the client may have disconnected in the meantime, the endpoint may have begun to drain, or the process may
+// have stalled.
 func (r *Router) attemptConnected(attempt *activeAttempt, now monotonic.Time) {
 	if attempt.request.attempts[attempt.state] != attempt {
 		return
@@ -67,17 +68,17 @@
 	}
 }
 
-// attemptSentLate counts and logs an attempt that went out after the process was held up for a span.
+// attemptSentLate counts and logs an attempt that was sent late because the process was delayed by the given span.
 func (r *Router) attemptSentLate(requestID, endpoint string, span time.Duration) {
 	total := r.sentLate.Add(1)
 	slog.Warn("attempt sent late", "request_id", requestID, "endpoint", endpoint, "duration", span, "total", total)
 }
 
-// AttemptsSentLate returns how many attempts have gone out late since the start, because the process was held up between the
-// last look at the time and the write. It does not block.
+// AttemptsSentLate returns the number of attempts since the start that were sent late because the process was delayed
+// between the last reading of the clock and the write. It does not block.
 func (r *Router) AttemptsSentLate() int64 { return r.sentLate.Load() }
 
-// finishAttempt takes in how an attempt ended, unless it was canceled before.
+// finishAttempt processes the outcome of an attempt, unless the attempt was finished or canceled before.
 func (r *Router) finishAttempt(attempt *activeAttempt, response protocol.Response, now monotonic.Time) {
 	request := attempt.request
 	if request.attempts[attempt.state] != attempt {
@@ -90,23 +91,24 @@
 	}
 	outcome := response.Outcome
 	if outcome == decision.OutcomeSuccess && response.Value == nil {
-		outcome = decision.OutcomeError // a response without a value answers some other request
+		outcome = decision.OutcomeError // a response without a value does not belong to this request
 	}
 	if outcome == decision.OutcomeSuccess {
 		r.balancer.AttemptServed(attempt.state, attempt.handle.ConnectedAt())
 	}
 	duration := now - attempt.startedAt
-	settled := request.client == nil
-	r.requestLog.attemptFinished(request.id, r.endpoints.byDecision[attempt.state.Endpoint()], outcome, duration)
-	if outcome == decision.OutcomeSuccess && !settled {
+	completed := request.client == nil
+	r.requestLog.attemptFinished(request.id, r.endpoints.byEndpoint[attempt.state.Endpoint()], outcome, duration)
+	if outcome == decision.OutcomeSuccess && !completed {
 		r.requestLog.answered(request.id, answerServed, decision.ReasonNone)
 		request.client.Respond(response.Value)
 	}
-	result := decision.AttemptResult{Outcome: outcome, Duration: duration, RequestCompleted: settled}
+	result := decision.AttemptResult{Outcome: outcome, Duration: duration, RequestCompleted: completed}
 	r.apply(request, r.balancer.FinishAttempt(attempt.state, result, now), now)
 }
 
-// cancelAttempt ends an attempt on the gateway's side, with an outcome for the case that it may have reached the endpoint.
+// cancelAttempt cancels an attempt. The given outcome applies if the request may have reached the endpoint, and
+// OutcomeNotSent if it has not. An attempt that has already finished is left until its own outcome arrives.
 func (r *Router) cancelAttempt(attempt *activeAttempt, outcome decision.Outcome, now monotonic.Time) {
 	reachedEndpoint, alreadyFinished := attempt.handle.Cancel()
 	if alreadyFinished {
@@ -126,9 +128,9 @@
 	}
 }
 
-// withholdDisallowed cancels the attempts of which nothing has been sent and which the balancer no longer allows. An
-// attempt may wait up to a second for its connection, and meanwhile its client may disconnect, its endpoint may begin to
-// drain, or the exposure cap may fall.
+// withholdDisallowed cancels the attempts that the balancer no longer allows and of which nothing has been sent. An
+// attempt may wait up to a second for its connection. In that time its client may disconnect, its endpoint may begin to
+// drain, or the exposure cap may be lowered.
 func (r *Router) withholdDisallowed(now monotonic.Time) {
 	var withheld []*activeAttempt
 	for _, attempt := range r.timers.heap {
--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -11,18 +11,18 @@
 	"laurelring/internal/protocol"
 )
 
-// endpointListState is what the router knows of the endpoint list beside its endpoints.
+// endpointListState is the state of the endpoint list, except for the endpoints themselves.
 type endpointListState struct {
-	revision    int64            // of the list held
-	confirmedAt monotonic.Time   // when discovery last confirmed it; 0 before it first has
-	failures    int              // of discovery since then
-	exchange    *gossip.Exchange // nil where gateways exchange no views
-	newerView   *peerView        // nil where no peer's view is newer than the list held
+	revision    int64            // of the held list
+	confirmedAt monotonic.Time   // time at which discovery last confirmed the list; 0 before the first confirmation
+	failures    int              // failures of discovery since confirmedAt
+	exchange    *gossip.Exchange // nil if the gateways do not exchange views
+	newerView   *peerView        // nil if no peer's view is newer than the held list
 
-	loggedTrusted bool // whether the lease was valid when its state was last logged
+	loggedTrusted bool // whether the lease was valid according to the latest log message about it
 }
 
-// unconfirmedFor is how long ago discovery last confirmed the list, for the log; 0 if it never has.
+// unconfirmedFor returns, for the log, the time since discovery last confirmed the list, or 0 if it never has.
 func (s *endpointListState) unconfirmedFor(now monotonic.Time) time.Duration {
 	if s.confirmedAt == 0 {
 		return 0
@@ -30,17 +30,17 @@
 	return (now - s.confirmedAt).Round(time.Millisecond)
 }
 
-// EndpointListUpdate is an answer of discovery, or the endpoint list that the gateway starts with.
+// EndpointListUpdate is an answer from discovery, or the endpoint list with which the gateway starts.
 type EndpointListUpdate struct {
 	List   *protocol.EndpointList
-	Cached bool // the list that the gateway starts with, which no discovery has confirmed
-	// Full is set where discovery was asked without a revision. The answer may then be of an older revision than the
-	// one held, as discovery may have returned with an earlier state.
+	Cached bool // whether this is the list with which the gateway starts, which discovery has not confirmed
+	// Full is set if discovery was asked without a revision. The answer may then have an older revision than the held
+	// list, as discovery may have been restored from an earlier state.
 	Full bool
 }
 
-// EndpointListReceived posts an endpoint list and waits until it is processed. It returns protocol.ErrOlderList where the
-// list is older than the one held, and ErrEnded where the router has ended.
+// EndpointListReceived posts an endpoint list and waits until it has been processed. It returns protocol.ErrOlderList
+// if the list is rejected because it is older than the held list, and ErrEnded if the router has ended.
 func (r *Router) EndpointListReceived(update EndpointListUpdate) error {
 	processed := make(chan error, 1)
 	posted := r.post(func(now monotonic.Time) { processed <- r.applyEndpointList(update, now) })
@@ -55,8 +55,8 @@
 	}
 }
 
-// applyEndpointList updates the balancer's endpoints. A list that is older than the one held is refused, as it would undo
-// drains, unless discovery was asked without a revision and gave a complete list.
+// applyEndpointList updates the balancer's endpoints. A list that is older than the held list is rejected, as it would
+// undo drains, unless discovery was asked without a revision and returned a complete list.
 func (r *Router) applyEndpointList(update EndpointListUpdate, now monotonic.Time) error {
 	list := update.List
 	if list.Revision < r.list.revision && !(update.Full && list.Complete) {
@@ -68,58 +68,58 @@
 	if current {
 		r.discardPeerView(update.Full)
 	}
-	r.applyMembers(list, now)
+	r.applyEntries(list, now)
 	r.restoreDeparted(now)
 	r.balancer.CommitEndpointList(update.Cached, now)
 	if !update.Cached {
-		r.listConfirmed(current, now)
+		r.recordConfirmation(current, now)
 	}
 	r.withholdDisallowed(now)
 	r.endpoints.expire(now)
 	return nil
 }
 
-// applyMembers updates the endpoints that a list names, and removes the others where it is complete.
-func (r *Router) applyMembers(list *protocol.EndpointList, now monotonic.Time) {
+// applyEntries updates the endpoints that a list names, and removes all others if the list is complete.
+func (r *Router) applyEntries(list *protocol.EndpointList, now monotonic.Time) {
 	named := map[*decision.Endpoint]bool{}
-	for _, member := range list.Entries {
-		record := r.endpoints.record(member.ID)
+	for _, entry := range list.Entries {
+		record := r.endpoints.record(entry.ID)
 		named[record.endpoint] = true
-		r.applyMember(record, member, now)
+		r.applyEntry(record, entry, now)
 	}
 	if list.Complete {
-		r.retainOnly(named, now)
+		r.removeUnlisted(named, now)
 	}
 }
 
-// applyMember updates an endpoint by its entry in the list.
-func (r *Router) applyMember(record *endpointRecord, member protocol.EndpointEntry, now monotonic.Time) {
+// applyEntry updates an endpoint according to its entry in the list.
+func (r *Router) applyEntry(record *endpointRecord, entry protocol.EndpointEntry, now monotonic.Time) {
 	address := record.listed.Address
-	moved := address != "" && address != member.Address
-	if moved || !member.Present {
+	addressChanged := address != "" && address != entry.Address
+	if addressChanged || !entry.Present {
 		r.drivers.CloseIdleConnections(address)
 	}
-	record.list(member, r.list.revision, now)
+	record.applyEntry(entry, r.list.revision, now)
 	record.departed = r.isDeparted(record, now)
 	r.verifyBuild(record.listed.Build)
 	r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
 }
 
-// retainOnly removes the endpoints that a complete list does not name.
-func (r *Router) retainOnly(named map[*decision.Endpoint]bool, now monotonic.Time) {
+// removeUnlisted removes the endpoints that are not named by a complete list.
+func (r *Router) removeUnlisted(named map[*decision.Endpoint]bool, now monotonic.Time) {
 	r.balancer.RetainEndpoints(named)
-	for _, record := range r.endpoints.inOrder() {
+	for _, record := range r.endpoints.sortedRecords() {
 		if named[record.endpoint] || record.removedAt != 0 {
 			continue
 		}
-		record.unlist(r.list.revision, now)
+		record.markRemoved(r.list.revision, now)
 		r.drivers.CloseIdleConnections(record.listed.Address)
 	}
 }
 
-// listConfirmed notes that discovery has answered. That renews the lease where the list is current, which it is unless a
-// peer's view is newer.
-func (r *Router) listConfirmed(current bool, now monotonic.Time) {
+// recordConfirmation records that discovery has answered. The answer renews the lease only if the held list is current,
+// which it is unless a peer's view is newer.
+func (r *Router) recordConfirmation(current bool, now monotonic.Time) {
 	if r.list.failures > 0 {
 		slog.Info("endpoint list confirmed again", "revision", r.list.revision, "failures", r.list.failures,
 			"unconfirmed_for", r.list.unconfirmedFor(now))
@@ -130,8 +130,8 @@
 	}
 }
 
-// DiscoveryFailed posts that discovery could not be asked, or that a watch of the endpoint list broke. A response that
-// began and did not arrive whole may have listed drains.
+// DiscoveryFailed posts that a call to discovery failed or that a watch of the endpoint list broke. A response that
+// began but did not arrive completely may have contained drains.
 func (r *Router) DiscoveryFailed(err error) {
 	r.post(func(now monotonic.Time) {
 		r.list.failures++
@@ -149,12 +149,12 @@
 	})
 }
 
-// DiscoveryResponseStarted posts that a response of discovery has begun to arrive.
+// DiscoveryResponseStarted posts that a response from discovery has begun to arrive.
 func (r *Router) DiscoveryResponseStarted() {
 	r.post(func(now monotonic.Time) { r.balancer.DiscoveryResponseStarted(now) })
 }
 
-// DiscoveryMoved posts that discovery is asked at another address from now on.
+// DiscoveryMoved posts that discovery is called at another address from now on.
 func (r *Router) DiscoveryMoved() {
 	r.post(func(now monotonic.Time) {
 		r.balancer.DiscoveryMoved(now)
@@ -164,9 +164,9 @@
 	})
 }
 
-// logLease logs when the lease on the endpoint list expires, and when it is valid again. Without it only endpoints that
-// served lately get requests.
-func (r *Router) logLease(now monotonic.Time) {
+// logLeaseChange logs when the lease on the endpoint list expires and when it becomes valid again. While the lease is
+// not valid, only endpoints that have served requests recently get attempts.
+func (r *Router) logLeaseChange(now monotonic.Time) {
 	trusted := r.balancer.EndpointListTrusted(now)
 	if trusted == r.list.loggedTrusted {
 		return
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -13,30 +13,31 @@
 	"laurelring/internal/protocol"
 )
 
-// removedEndpointTTL is how long an endpoint is remembered that is no longer listed.
+// removedEndpointTTL is the time for which the record of an endpoint is kept after the endpoint is no longer listed.
 const removedEndpointTTL = 60 * time.Second
 
-// endpointRecord is what the router knows of an endpoint that has been listed.
+// endpointRecord is the router's record of an endpoint that is or was listed.
 type endpointRecord struct {
 	endpoint  *decision.Endpoint
-	hash      uint32                 // of its id, in messages between gateways
-	listed    protocol.EndpointEntry // as discovery last listed it
-	removedAt monotonic.Time         // when it was no longer listed; 0 while it is
+	hash      uint32                 // hash of the endpoint's id, which identifies it in messages between gateways
+	listed    protocol.EndpointEntry // the latest entry from discovery
+	removedAt monotonic.Time         // time at which the endpoint was removed from the list; 0 while it is listed
 
 	incarnation  uint32
-	downRevision int64 // the newest revision by which it was draining or removed
-	departed     bool  // peers know that it has begun to drain or has gone, as of the latest list or view
+	downRevision int64 // the newest revision at which the endpoint was draining or removed
+	departed     bool  // whether a peer's view shows it as draining or removed, as of the latest list or view
 
-	// A discarded view of this revision lacked it; discovery had counted from an older one again. That stands until
-	// discovery has come as far, the endpoint has restarted, or this moment.
+	// departedRevision is the revision of a discarded view that did not contain the endpoint, if the view was discarded
+	// because discovery started again from an older revision. The endpoint counts as departed until discovery reaches
+	// this revision, the endpoint restarts, or departedUntil has passed.
 	departedRevision int64
 	departedUntil    monotonic.Time
 }
 
-// ready reports whether the endpoint takes requests, by discovery and by peers.
+// ready reports whether the endpoint accepts requests according to both discovery and the peers.
 func (record *endpointRecord) ready() bool { return record.listed.Ready && !record.departed }
 
-// status is the endpoint as the balancer is to know it.
+// status returns the status of the endpoint for the balancer.
 func (record *endpointRecord) status() decision.EndpointStatus {
 	listed := &record.listed
 	return decision.EndpointStatus{
@@ -51,77 +52,78 @@
 	}
 }
 
-// list takes in an entry of the endpoint list of a revision.
-func (record *endpointRecord) list(member protocol.EndpointEntry, revision int64, now monotonic.Time) {
-	// What was draining or removed by a newer list stays so until it is restarted or discovery has counted beyond.
-	sameIncarnation := record.listed.StartedAt == member.StartedAt && record.listed.Build == member.Build
-	if member.Ready && record.downRevision > revision && sameIncarnation {
-		member.Ready = false
+// applyEntry updates the record with an entry of the endpoint list of the given revision.
+func (record *endpointRecord) applyEntry(entry protocol.EndpointEntry, revision int64, now monotonic.Time) {
+	// An endpoint that a newer list showed as draining or removed is not ready until it restarts, or until the
+	// revisions of discovery reach the revision of that list.
+	sameIncarnation := record.listed.StartedAt == entry.StartedAt && record.listed.Build == entry.Build
+	if entry.Ready && record.downRevision > revision && sameIncarnation {
+		entry.Ready = false
 	}
-	if member.Present && !sameIncarnation {
+	if entry.Present && !sameIncarnation {
 		record.departedUntil = 0
 	}
-	if !member.Present { // the entry of a removed endpoint may lack the rest
-		member.StartedAt, member.Build = record.listed.StartedAt, record.listed.Build
+	if !entry.Present { // the entry of a removed endpoint may lack these fields
+		entry.StartedAt, entry.Build = record.listed.StartedAt, record.listed.Build
 	}
-	record.listed, record.removedAt = member, 0
-	record.incarnation = gossip.Incarnation(member.ID, member.StartedAt, member.Build)
-	if !member.Present {
+	record.listed, record.removedAt = entry, 0
+	record.incarnation = gossip.Incarnation(entry.ID, entry.StartedAt, entry.Build)
+	if !entry.Present {
 		record.removedAt = now
 	}
-	if !member.Ready {
+	if !entry.Ready {
 		record.downRevision = max(record.downRevision, revision)
 	}
 }
 
-// unlist marks an endpoint as removed by the list of a revision.
-func (record *endpointRecord) unlist(revision int64, now monotonic.Time) {
+// markRemoved marks the endpoint as removed by the list of the given revision.
+func (record *endpointRecord) markRemoved(revision int64, now monotonic.Time) {
 	record.removedAt = now
 	record.downRevision = max(record.downRevision, revision)
 	record.listed.Ready, record.listed.Present = false, false
 }
 
-// endpointTable finds the endpoint records.
+// endpointTable indexes the endpoint records.
 type endpointTable struct {
 	byID       map[string]*endpointRecord
-	byDecision map[*decision.Endpoint]*endpointRecord
-	byHash     map[uint32]*decision.Endpoint // where ids collide, one of them
+	byEndpoint map[*decision.Endpoint]*endpointRecord
+	byHash     map[uint32]*decision.Endpoint // one of the endpoints if several ids have the same hash
 }
 
 func newEndpointTable() endpointTable {
 	return endpointTable{
 		byID:       map[string]*endpointRecord{},
-		byDecision: map[*decision.Endpoint]*endpointRecord{},
+		byEndpoint: map[*decision.Endpoint]*endpointRecord{},
 		byHash:     map[uint32]*decision.Endpoint{},
 	}
 }
 
-// record returns the record of an id, which it makes where there is none.
+// record returns the record of the endpoint with the given id and creates it if necessary.
 func (t *endpointTable) record(id string) *endpointRecord {
 	record := t.byID[id]
 	if record == nil {
 		record = &endpointRecord{endpoint: &decision.Endpoint{}, hash: hashID(id), listed: protocol.EndpointEntry{ID: id}}
 		t.byID[id] = record
-		t.byDecision[record.endpoint] = record
+		t.byEndpoint[record.endpoint] = record
 		t.byHash[record.hash] = record.endpoint
 	}
 	return record
 }
 
-// expire forgets the endpoints that were removed long ago.
+// expire deletes the records of endpoints that were removed more than removedEndpointTTL ago.
 func (t *endpointTable) expire(now monotonic.Time) {
-	for _, record := range t.removedInOrder() {
+	for _, record := range t.sortedRemovedRecords() {
 		if now-record.removedAt <= removedEndpointTTL {
 			continue
 		}
 		delete(t.byID, record.listed.ID)
-		delete(t.byDecision, record.endpoint)
-		t.forgetHash(record)
+		delete(t.byEndpoint, record.endpoint)
+		t.reassignHash(record)
 	}
 }
 
-// removedInOrder returns the records of endpoints that are no longer listed, in the order of their ids.
-func (t *endpointTable) removedInOrder() []*endpointRecord {
+// sortedRemovedRecords returns the records of endpoints that are no longer listed, sorted by id.
+func (t *endpointTable) sortedRemovedRecords() []*endpointRecord {
 	var removed []*endpointRecord
 	for _, record := range t.byID {
 		if record.removedAt != 0 {
@@ -132,21 +134,21 @@
 	return removed
 }
 
-// forgetHash has a forgotten endpoint's hash stand for another one that has it too, if there is one.
-func (t *endpointTable) forgetHash(forgotten *endpointRecord) {
-	if t.byHash[forgotten.hash] != forgotten.endpoint {
+// reassignHash makes the hash of a deleted record refer to another endpoint with the same hash, if there is one.
+func (t *endpointTable) reassignHash(deleted *endpointRecord) {
+	if t.byHash[deleted.hash] != deleted.endpoint {
 		return
 	}
-	delete(t.byHash, forgotten.hash)
-	for _, record := range t.inOrder() {
-		if record.hash == forgotten.hash {
+	delete(t.byHash, deleted.hash)
+	for _, record := range t.sortedRecords() {
+		if record.hash == deleted.hash {
 			t.byHash[record.hash] = record.endpoint
 			return
 		}
 	}
 }
 
-// anyDeparted reports whether peers know of any endpoint that has begun to drain or has gone.
+// anyDeparted reports whether any endpoint is marked as departed according to the peers.
 func (t *endpointTable) anyDeparted() bool {
 	for _, record := range t.byID {
 		if record.departed {
@@ -156,8 +158,8 @@
 	return false
 }
 
-// inOrder returns the records in the order of their ids, so that the same events lead to the same actions.
-func (t *endpointTable) inOrder() []*endpointRecord {
+// sortedRecords returns the records sorted by id, so that equal sequences of events lead to equal actions.
+func (t *endpointTable) sortedRecords() []*endpointRecord {
 	records := slices.Collect(maps.Values(t.byID))
 	sortByID(records)
 	return records
@@ -167,18 +169,18 @@
 	slices.SortFunc(records, func(a, b *endpointRecord) int { return cmp.Compare(a.listed.ID, b.listed.ID) })
 }
 
-// hashOf returns what stands for an endpoint in messages between gateways; 0 where it has been forgotten.
+// hashOf returns the hash that identifies an endpoint in messages between gateways, or 0 if its record was deleted.
 func (t *endpointTable) hashOf(endpoint *decision.Endpoint) uint32 {
-	if record := t.byDecision[endpoint]; record != nil {
+	if record := t.byEndpoint[endpoint]; record != nil {
 		return record.hash
 	}
 	return 0
 }
 
-// endpointByHash returns the endpoint that a message between gateways names, or nil.
+// endpointByHash returns the endpoint with the given hash from a message between gateways, or nil if it is unknown.
 func (t *endpointTable) endpointByHash(hash uint32) *decision.Endpoint { return t.byHash[hash] }
 
-// hashID returns what stands for an endpoint's id in messages between gateways.
+// hashID returns the hash of an endpoint's id that identifies the endpoint in messages between gateways.
 func hashID(id string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/internal/routing/gossip.go
+++ b/internal/routing/gossip.go
@@ -10,25 +10,25 @@
 	"laurelring/internal/protocol"
 )
 
-// peerView is a peer's view of a revision that discovery has not given this gateway yet.
+// peerView is a peer's view of a revision that this gateway has not received from discovery yet.
 type peerView struct {
 	revision    int64
-	confirmedAt monotonic.Time  // the moment for which it holds
+	confirmedAt monotonic.Time  // time at which discovery confirmed the view to the peer
 	ready       map[uint32]bool // by incarnation
 }
 
-// DatagramReceived posts a datagram of the gateway of a rank.
+// DatagramReceived posts a datagram from the gateway whose rank is sender.
 func (r *Router) DatagramReceived(sender int, datagram []byte) {
 	r.post(func(now monotonic.Time) {
-		if r.list.exchange != nil && r.gossipReceived(sender, datagram, now) {
+		if r.list.exchange != nil && r.handleGossip(sender, datagram, now) {
 			return
 		}
-		r.evidenceReceived(sender, datagram, now)
+		r.handleEvidence(sender, datagram, now)
 	})
 }
 
-// gossipReceived takes in a peer's query or view of the endpoint list, and reports whether the datagram was one.
-func (r *Router) gossipReceived(sender int, datagram []byte, now monotonic.Time) bool {
+// handleGossip processes a peer's query or view of the endpoint list, and reports whether the datagram was one of them.
+func (r *Router) handleGossip(sender int, datagram []byte, now monotonic.Time) bool {
 	if query, ok := protocol.DecodeGossipQuery(datagram); ok {
 		r.list.exchange.QueryReceived(sender, query, now)
 		return true
@@ -38,7 +38,7 @@
 		return false
 	}
 	if r.balancer.CatchingUp(now) && !r.balancer.EndpointListTrusted(now) {
-		return true // it may have lain unread through a long stall: nobody knows its age. A further query brings another
+		return true // of unknown age, as it may have been unread during a long stall; the next query brings another
 	}
 	learned := r.list.exchange.ViewReceived(sender, view, now)
 	if learned == nil {
@@ -52,18 +52,18 @@
 	return true
 }
 
-// applyPeerView goes by a newer view of a peer: the endpoints that it lacks have begun to drain or were removed since the
-// revision held.
+// applyPeerView applies a newer view of a peer. Endpoints that are missing from the view have begun to drain or were
+// removed since the held revision.
 func (r *Router) applyPeerView(view *peerView, now monotonic.Time) {
 	r.list.newerView = view
 	departed := 0
-	for _, record := range r.endpoints.inOrder() {
-		lacking := !view.ready[record.incarnation]
-		if record.removedAt > 0 || record.departed == lacking {
+	for _, record := range r.endpoints.sortedRecords() {
+		missing := !view.ready[record.incarnation]
+		if record.removedAt > 0 || record.departed == missing {
 			continue
 		}
-		record.departed = lacking
-		if lacking {
+		record.departed = missing
+		if missing {
 			departed++
 			r.drivers.CloseIdleConnections(record.listed.Address)
 		}
@@ -74,9 +74,9 @@
 	r.withholdDisallowed(now)
 }
 
-// discardPeerView forgets a peer's view, as the list held is current. Where discovery counts from an older revision again,
-// what the view lacked stays unready for as long as the view would have stood. It is no longer than that: a single view may
-// be faulty, or of a revision that discovery never comes to again.
+// discardPeerView discards the peer's view because the held list is current. If discovery has started again from an
+// older revision, the endpoints that are missing from the view stay unready for as long as the view would have been
+// valid, but no longer: a single view may be faulty, or of a revision that discovery never reaches again.
 func (r *Router) discardPeerView(full bool) {
 	view := r.list.newerView
 	if view == nil {
@@ -93,7 +93,8 @@
 	r.list.newerView = nil
 }
 
-// isDeparted reports whether peers know that an endpoint has begun to drain or has gone, and discovery has not come so far.
+// isDeparted reports whether a peer's view shows that an endpoint has begun to drain or was removed, at a revision that
+// discovery has not reached yet.
 func (r *Router) isDeparted(record *endpointRecord, now monotonic.Time) bool {
 	if view := r.list.newerView; view != nil {
 		return !view.ready[record.incarnation]
@@ -101,12 +102,13 @@
 	return r.list.revision < record.departedRevision && now < record.departedUntil
 }
 
-// restoreDeparted has the endpoints that a discarded view lacked go by discovery again.
+// restoreDeparted gives departed endpoints the status that discovery lists once no peer's view applies to them any
+// more.
 func (r *Router) restoreDeparted(now monotonic.Time) {
 	if !r.endpoints.anyDeparted() {
 		return
 	}
-	for _, record := range r.endpoints.inOrder() {
+	for _, record := range r.endpoints.sortedRecords() {
 		if !record.departed || r.isDeparted(record, now) {
 			continue
 		}
@@ -117,7 +119,7 @@
 	}
 }
 
-// sendGossip sends the queries and replies that are due, and returns how long to wait for the next.
+// sendGossip sends the queries and replies that are due, and returns the longest time to wait for the next call.
 func (r *Router) sendGossip(now monotonic.Time) time.Duration {
 	due, wait := r.list.exchange.Tick(now)
 	for _, recipient := range due.QueryRecipients {
@@ -140,7 +142,7 @@
 	return wait
 }
 
-// readyIncarnations returns what discovery lists as ready, in ascending order.
+// readyIncarnations returns the incarnations that discovery lists as ready, in ascending order.
 func (t *endpointTable) readyIncarnations() []uint32 {
 	var ready []uint32
 	for _, record := range t.byID {
--- a/internal/routing/requestlog.go
+++ b/internal/routing/requestlog.go
@@ -8,11 +8,11 @@
 	"laurelring/decision"
 )
 
-// requestLog logs the course of each request at level debug: its arrival, each attempt with the revision of the endpoint
-// list that it went by, each outcome, and the final answer with its reason. At other levels it costs nothing.
+// requestLog logs the life of each request at level debug: its arrival, each attempt with the revision of the endpoint
+// list that was held, each outcome, and the final answer with its reason. At other log levels it does nothing.
 type requestLog struct{ enabled bool }
 
-// The final answers, as they are logged.
+// Values of the log key answer: the kinds of final answers.
 const (
 	answerServed   = "served"
 	answerRejected = "rejected"
@@ -36,7 +36,7 @@
 	}
 }
 
-// attemptFinished is given no endpoint where it has been forgotten meanwhile.
+// attemptFinished logs the outcome of an attempt. The endpoint is nil if its record has been deleted in the meantime.
 func (l requestLog) attemptFinished(id string, endpoint *endpointRecord, outcome decision.Outcome, duration time.Duration) {
 	if !l.enabled {
 		return
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -8,51 +8,51 @@
 	"laurelring/internal/protocol"
 )
 
-// activeRequest is a request until it has its final answer and none of its attempts is in flight.
+// activeRequest is a request that has no final answer yet, or still has attempts in flight.
 type activeRequest struct {
-	id       string // as the client gave it
+	id       string // as received from the client
 	state    *decision.Request
-	client   Client // nil once it has its answer or has disconnected
+	client   Client // nil after it got its answer or disconnected
 	encode   func(remaining time.Duration) []byte
 	attempts map[*decision.Attempt]*activeAttempt
 }
 
-// requestTable finds the active requests.
+// requestTable indexes the active requests.
 type requestTable struct {
-	byDecision map[*decision.Request]*activeRequest
-	byID       map[string]*activeRequest
-	byClient   map[Client]*activeRequest // of those whose client waits
+	byState  map[*decision.Request]*activeRequest
+	byID     map[string]*activeRequest
+	byClient map[Client]*activeRequest // only requests whose clients still wait for an answer
 }
 
 func newRequestTable() requestTable {
 	return requestTable{
-		byDecision: map[*decision.Request]*activeRequest{},
-		byID:       map[string]*activeRequest{},
-		byClient:   map[Client]*activeRequest{},
+		byState:  map[*decision.Request]*activeRequest{},
+		byID:     map[string]*activeRequest{},
+		byClient: map[Client]*activeRequest{},
 	}
 }
 
 func (t *requestTable) add(request *activeRequest) {
-	t.byDecision[request.state] = request
+	t.byState[request.state] = request
 	t.byID[request.id] = request
 	t.byClient[request.client] = request
 }
 
-// removeClient forgets the client of a request that has its answer, or whose client has disconnected.
+// removeClient removes the client of a request that has been answered or whose client has disconnected.
 func (t *requestTable) removeClient(request *activeRequest) {
 	delete(t.byClient, request.client)
 	request.client = nil
 }
 
 func (t *requestTable) remove(request *activeRequest) {
-	delete(t.byDecision, request.state)
+	delete(t.byState, request.state)
 	delete(t.byID, request.id)
 }
 
-// RequestArrived posts a request that a client sent. It fails at once where another active request bears the same id, as
-// an endpoint would take the two for one, and is rejected at once where the router has ended.
+// RequestArrived posts a request that a client has sent. The request fails immediately if another active request has
+// the same id, as an endpoint would take both for the same request. It is rejected immediately if the router has ended.
 func (r *Router) RequestArrived(request protocol.Request, client Client) {
-	arrivedAt := r.clock() // the time in the event queue counts against the deadline
+	arrivedAt := r.clock() // time spent in the event queue counts against the deadline
 	posted := r.post(func(now monotonic.Time) {
 		if r.requests.byID[request.ID] != nil {
 			client.Fail()
@@ -65,7 +65,7 @@
 	}
 }
 
-// admit has the balancer admit and route a request that has a span of time left.
+// admit passes a request with the given remaining time to the balancer, which admits and routes it.
 func (r *Router) admit(request protocol.Request, client Client, remaining time.Duration, now monotonic.Time) {
 	if r.shutdownAt > 0 {
 		remaining = min(remaining, r.shutdownAt-now)
@@ -83,7 +83,7 @@
 	r.apply(active, r.balancer.Route(active.state, now), now)
 }
 
-// ClientDisconnected posts that a client has disconnected before its answer.
+// ClientDisconnected posts that a client has disconnected before it got its answer.
 func (r *Router) ClientDisconnected(client Client) {
 	r.post(func(now monotonic.Time) {
 		request := r.requests.byClient[client]
@@ -98,25 +98,25 @@
 }
 
 // apply carries out the balancer's decision on a request.
-func (r *Router) apply(request *activeRequest, verdict decision.Decision, now monotonic.Time) {
-	switch verdict.Action {
+func (r *Router) apply(request *activeRequest, decided decision.Decision, now monotonic.Time) {
+	switch decided.Action {
 	case decision.ActionForward:
-		r.startAttempt(request, verdict, now)
+		r.startAttempt(request, decided, now)
 	case decision.ActionReject:
 		if request.client != nil {
-			r.requestLog.answered(request.id, answerRejected, verdict.Reason)
-			request.client.Reject(verdict.RetryAfter)
+			r.requestLog.answered(request.id, answerRejected, decided.Reason)
+			request.client.Reject(decided.RetryAfter)
 		}
 	case decision.ActionFail:
 		if request.client != nil {
-			r.requestLog.answered(request.id, answerFailed, verdict.Reason)
+			r.requestLog.answered(request.id, answerFailed, decided.Reason)
 			request.client.Fail()
 		}
 	}
 	r.releaseCompleted(request)
 }
 
-// releaseCompleted forgets the client of a completed request, and the request once none of its attempts is in flight.
+// releaseCompleted removes the client of a completed request, and the request itself if it has no attempt in flight.
 func (r *Router) releaseCompleted(request *activeRequest) {
 	if !request.state.Completed() {
 		return
--- a/internal/routing/rollout.go
+++ b/internal/routing/rollout.go
@@ -10,24 +10,25 @@
 	"laurelring/internal/protocol"
 )
 
-// maxKnownBuilds bounds the builds that are remembered as listed. One that is forgotten is verified again.
+// maxKnownBuilds is the maximum number of listed builds that are remembered. A build that was dropped is verified again
+// when it is listed again.
 const maxKnownBuilds = 64
 
-// rolloutState is what the router remembers of builds and their rollout.
+// rolloutState is the router's state of builds and their rollout.
 type rolloutState struct {
-	knownBuilds []int           // given to VerifyBuild, the earliest first
-	logged      rolloutPosition // the latest that was logged
-	unreadSince monotonic.Time  // since when something that may lower the cap is unread; 0 if nothing is
+	knownBuilds []int           // builds passed to VerifyBuild, the earliest first
+	lastLogged  rolloutPosition // the latest position that was logged
+	unreadSince monotonic.Time  // since when a message that may lower the exposure cap is unread; 0 if none is
 }
 
-// rolloutPosition is where a build stands in its rollout.
+// rolloutPosition is the stage and phase that the rollout of a build has reached.
 type rolloutPosition struct {
 	build, stage int
 	phase        decision.RolloutPhase
 }
 
-// noteBuild remembers a build as listed, and reports whether it was not known.
-func (s *rolloutState) noteBuild(build int) bool {
+// addKnownBuild records a build as listed, and reports whether it was unknown before.
+func (s *rolloutState) addKnownBuild(build int) bool {
 	if slices.Contains(s.knownBuilds, build) {
 		return false
 	}
@@ -38,7 +39,7 @@
 	return true
 }
 
-// RolloutStatusReceived posts where the newest build stands.
+// RolloutStatusReceived posts the rollout status of the newest build.
 func (r *Router) RolloutStatusReceived(status decision.RolloutStatus) {
 	r.post(func(now monotonic.Time) {
 		r.logRolloutStatus(status)
@@ -47,25 +48,25 @@
 	})
 }
 
-// logRolloutStatus logs a status where its build, stage or phase differs from the latest.
+// logRolloutStatus logs a status if its build, stage or phase differs from the status logged before.
 func (r *Router) logRolloutStatus(status decision.RolloutStatus) {
 	position := rolloutPosition{build: status.Build, stage: status.Stage, phase: status.Phase}
-	if position == r.rollout.logged {
+	if position == r.rollout.lastLogged {
 		return
 	}
-	r.rollout.logged = position
+	r.rollout.lastLogged = position
 	slog.Info("rollout status changed", "build", status.Build, "stage", status.Stage, "phase", status.Phase,
 		"exposure_cap", status.ExposureCap)
 }
 
-// verifyBuild has a build verified when it is first listed.
+// verifyBuild starts the verification of a build when the build is first listed.
 func (r *Router) verifyBuild(build int) {
-	if r.drivers.VerifyBuild != nil && r.rollout.noteBuild(build) {
+	if r.drivers.VerifyBuild != nil && r.rollout.addKnownBuild(build) {
 		r.drivers.VerifyBuild(build)
 	}
 }
 
-// BuildVerified posts whether a build is what was signed.
+// BuildVerified posts whether a build is the one that was signed.
 func (r *Router) BuildVerified(build int, verified bool) {
 	r.post(func(now monotonic.Time) {
 		r.balancer.BuildVerified(build, verified)
@@ -73,7 +74,7 @@
 	})
 }
 
-// castVotes has votes cast at the rollout controller.
+// castVotes casts votes at the rollout controller.
 func (r *Router) castVotes(votes []decision.Vote, now monotonic.Time) {
 	for _, vote := range votes {
 		slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", vote.Verdict)
@@ -81,7 +82,7 @@
 	}
 }
 
-// VoteAnswered posts the outcome of a vote.
+// VoteAnswered posts the outcome of the call that cast a vote.
 func (r *Router) VoteAnswered(outcome decision.Outcome) {
 	r.post(func(now monotonic.Time) {
 		if outcome != decision.OutcomeSuccess {
@@ -91,7 +92,7 @@
 	})
 }
 
-// sendEvidence sends the reports on builds that are due to other gateways.
+// sendEvidence sends the evidence and voter reports that are due to other gateways.
 func (r *Router) sendEvidence(due *decision.DueWork, now monotonic.Time) {
 	if due.EvidenceReport != nil {
 		datagram := protocol.EncodeEvidenceReport(due.EvidenceReport, r.endpoints.hashOf)
@@ -105,8 +106,8 @@
 	}
 }
 
-// evidenceReceived takes in another gateway's report on a build. Any other datagram is ignored.
-func (r *Router) evidenceReceived(sender int, datagram []byte, now monotonic.Time) {
+// handleEvidence processes another gateway's evidence or voter report on a build. Any other datagram is ignored.
+func (r *Router) handleEvidence(sender int, datagram []byte, now monotonic.Time) {
 	if report := protocol.DecodeEvidenceReport(datagram, sender, r.endpoints.endpointByHash); report != nil {
 		r.balancer.EvidenceReceived(report, now)
 	} else if report := protocol.DecodeVoterReport(datagram, sender, r.endpoints.endpointByHash); report != nil {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,7 @@
-// Package routing runs a gateway's balancer: one goroutine owns the balancer, the requests in flight, the attempt timers
-// and the endpoint records. Others post events to its one bounded queue. The router hands each event to the balancer in
-// the order of arrival, asks it what is due, and carries that out by its drivers. It makes no decision of its own.
+// Package routing runs a gateway's balancer. A single goroutine, the router's, owns the balancer, the requests in
+// flight, the attempt timers and the endpoint records. Other goroutines post events to its bounded queue. The router
+// passes the events to the balancer in the order of arrival, asks it which work is due, and does that work through its
+// drivers. It makes no routing decisions itself.
 package routing
 
 import (
@@ -13,17 +14,17 @@
 	"laurelring/decision/monotonic"
 )
 
-// eventQueueSize bounds the events that wait for the router. Posting a further one blocks.
+// eventQueueSize is the capacity of the event queue. Posting an event blocks while the queue is full.
 const eventQueueSize = 1024
 
-// event is executed on the router's goroutine, at the moment at which its turn came.
+// event is a function that the router's goroutine calls with the time at which it takes the event from the queue.
 type event func(now monotonic.Time)
 
-// ErrEnded says that the router has ended and processes no more events.
+// ErrEnded is returned if the router has ended and processes no more events.
 var ErrEnded = errors.New("router has ended")
 
-// Router owns a gateway's balancer, its requests and its timers. Its methods post events and may be called by any
-// goroutine; they block while the event queue is full, until the router ends. Events that come after that are dropped.
+// Router owns a gateway's balancer, requests and timers. Its methods post events and may be called by any goroutine.
+// They block while the event queue is full, but no longer than until the router ends. Later events are dropped.
 type Router struct {
 	balancer         *decision.Balancer
 	utilizationField string
@@ -40,12 +41,12 @@
 	stall      stallDetector
 	requestLog requestLog
 
-	shutdownAt  monotonic.Time // by when every request is to be answered; 0 before a shutdown
-	queueLength atomic.Int64   // requests that the balancer has queued
-	sentLate    atomic.Int64   // attempts that went out late
+	shutdownAt  monotonic.Time // latest time for the answer to any request; 0 before a shutdown
+	queueLength atomic.Int64   // number of requests that the balancer has queued
+	sentLate    atomic.Int64   // number of attempts that were sent late
 }
 
-// New returns a router. Its methods may be called at once; events are processed once Run is called.
+// New returns a router. Its methods may be called immediately, but events are processed only after Run is called.
 func New(config Config) (*Router, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	}, nil
 }
 
-// Run processes events and timers until the context ends.
+// Run processes events and timers until the context is done.
 func (r *Router) Run(ctx context.Context) {
 	defer close(r.done)
 	timer := time.NewTimer(0)
@@ -84,7 +85,8 @@
 	}
 }
 
-// post queues an event and reports whether it has; not once the router has ended, when nobody would take it.
+// post queues an event and reports whether it did. It does not if the router has ended, as nothing would process the
+// event.
 func (r *Router) post(e event) (posted bool) {
 	select {
 	case <-r.done:
@@ -99,8 +101,8 @@
 	}
 }
 
-// turn processes the events that wait, then the timers, then what the balancer says is due. It returns how long to wait
-// for the next turn if no event comes.
+// turn runs one iteration of the event loop: it processes the queued events, then the expired timers, then the work
+// that the balancer says is due. It returns the longest time to wait for the next turn if no event arrives.
 func (r *Router) turn() time.Duration {
 	r.processWaitingEvents()
 	now := r.readClock()
@@ -110,12 +112,12 @@
 	if r.list.exchange != nil {
 		wait = min(wait, r.sendGossip(now))
 	}
-	r.logLease(now)
+	r.logLeaseChange(now)
 	r.queueLength.Store(int64(r.balancer.QueueLength()))
 	return max(r.timers.limitWait(wait, now), 0)
 }
 
-// processWaitingEvents processes events until none waits.
+// processWaitingEvents processes events until the queue is empty.
 func (r *Router) processWaitingEvents() {
 	for {
 		select {
@@ -127,11 +129,11 @@
 	}
 }
 
-// performDueWork carries out what the balancer says is due, and returns how long to wait before it is asked again.
+// performDueWork does the work that the balancer says is due, and returns the longest time to wait before asking again.
 func (r *Router) performDueWork(now monotonic.Time) time.Duration {
 	wait, due := r.balancer.Tick(now)
 	for _, queued := range due.Requests {
-		if request := r.requests.byDecision[queued]; request != nil {
+		if request := r.requests.byState[queued]; request != nil {
 			r.apply(request, r.balancer.Route(queued, now), now)
 		}
 	}
@@ -139,7 +141,7 @@
 		r.drivers.PollDiscovery()
 	}
 	for _, canceled := range due.CancelAttempts {
-		request := r.requests.byDecision[canceled.Request()]
+		request := r.requests.byState[canceled.Request()]
 		if request != nil && request.attempts[canceled] != nil {
 			r.cancelAttempt(request.attempts[canceled], decision.OutcomeCanceled, now)
 		}
@@ -149,14 +151,16 @@
 	return wait
 }
 
-// HasQueuedRequests reports whether requests wait for capacity, as of the latest turn. It does not block.
+// HasQueuedRequests reports whether any requests were waiting for capacity at the end of the latest turn. It does not
+// block.
 func (r *Router) HasQueuedRequests() bool { return r.queueLength.Load() > 0 }
 
-// ShutdownWithin has every request, in flight or to come, answered within a span from now.
+// ShutdownWithin limits the deadlines of all requests, in flight or yet to arrive, so that they are answered within the
+// given span from now.
 func (r *Router) ShutdownWithin(span time.Duration) {
 	r.post(func(now monotonic.Time) {
 		r.shutdownAt = now + span
-		for request := range r.requests.byDecision { // each is independent of the others: any order will do
+		for request := range r.requests.byState { // in any order, as the requests are independent
 			r.balancer.ShortenDeadline(request, r.shutdownAt)
 		}
 		r.timers.limit(r.shutdownAt)
--- a/internal/routing/stall.go
+++ b/internal/routing/stall.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// stallThreshold is how late the clock may be read before the balancer is notified of a stall.
+	// stallThreshold is the longest delay in reading the clock that is not reported to the balancer as a stall.
 	stallThreshold = 100 * time.Millisecond
-	// loggedStallThreshold is the same for the log.
+	// loggedStallThreshold is the longest stall that is not logged.
 	loggedStallThreshold = 500 * time.Millisecond
-	// maxCanaryHold is how long a canary build gets no attempts at the most because something is unread.
+	// maxCanaryHold is the longest time for which unread messages keep new attempts from a canary build.
 	maxCanaryHold = time.Second
 )
 
-// stallDetector knows when the clock was last read and when it is to be read again at the latest. Until it is started,
-// as where a test takes the turns, it detects nothing.
+// stallDetector detects stalls from the time at which the clock was last read and the time by which it should be read
+// again. It detects nothing until start is called, for example in tests that call turn themselves.
 type stallDetector struct {
 	clockReadAt monotonic.Time // 0 before the start
 	nextTurnBy  monotonic.Time
@@ -25,33 +25,35 @@
 
 func (d *stallDetector) start(now monotonic.Time) { d.clockReadAt = now }
 
-// expectTurnWithin sets the wait for the next turn, from the latest reading of the clock on.
+// expectTurnWithin sets the longest wait for the next turn, counted from the latest reading of the clock.
 func (d *stallDetector) expectTurnWithin(wait time.Duration) { d.nextTurnBy = d.clockReadAt + wait }
 
-// delay returns how much later than due the clock is read now.
+// delay records a reading of the clock and returns how much later than expected it is.
 func (d *stallDetector) delay(now monotonic.Time) time.Duration {
 	if d.clockReadAt <= 0 {
 		return 0
 	}
-	late := now - max(d.clockReadAt, d.nextTurnBy)
+	lateBy := now - max(d.clockReadAt, d.nextTurnBy)
 	d.clockReadAt = now
-	return late
+	return lateBy
 }
 
-// readClock returns the present moment. It notices where the process stood still since the clock was last read, or other
-// work kept the processor. The clock is read for each event, as a stall may come amid a turn as well as between two.
+// readClock returns the current time, and detects whether the process stalled or other work occupied the processor
+// since the clock was last read. The clock is read for each event, as a stall may occur during a turn or between two
+// turns.
 func (r *Router) readClock() monotonic.Time {
 	now := r.clock()
-	if late := r.stall.delay(now); late > stallThreshold {
-		r.processStalled(late, now)
+	if span := r.stall.delay(now); span > stallThreshold {
+		r.processStalled(span, now)
 	}
 	r.holdCanaryWhileUnread(now)
 	return now
 }
 
-// holdCanaryWhileUnread keeps new attempts from a canary build while something that discovery or the rollout controller has sent
-// is unread, as it may lower the cap, which binds from its writing on: beside load their readers may get the processor much
-// later than this goroutine. What does not become complete is not waited for without end.
+// holdCanaryWhileUnread keeps new attempts from a canary build while a message from discovery or the rollout controller
+// is unread. Such a message may lower the exposure cap, and the lower cap applies from the time at which the message
+// was written. Under load, the goroutines that read these messages may get the processor much later than this one. The
+// hold ends after maxCanaryHold, as an incomplete message may never become complete.
 func (r *Router) holdCanaryWhileUnread(now monotonic.Time) {
 	if r.drivers.HasUnhandledNotice == nil || !r.balancer.CanaryExposed() {
 		return
@@ -68,24 +70,25 @@
 	}
 }
 
-// endCatchUp lets attempts start again after a stall once all that discovery and the rollout controller sent meanwhile has
-// been read and processed, or has not been for longer than is waited for it. A fixed pause alone would not do: beside load
-// their readers may take their turn later than that.
+// endCatchUp lets attempts start again after a stall once all messages that discovery and the rollout controller sent
+// during the stall have been read and processed. If that takes too long, the balancer ends the pause by itself. A fixed
+// pause alone is not enough: under load, the goroutines that read these messages may run only after it.
 func (r *Router) endCatchUp(now monotonic.Time) {
 	if r.drivers.HasUnhandledNotice == nil || !r.balancer.CatchingUp(now) || !r.balancer.CatchUpPauseOver(now) ||
 		r.drivers.HasUnhandledNotice() {
 		return
 	}
-	r.processWaitingEvents() // what was posted before the look
+	r.processWaitingEvents() // process what was posted before HasUnhandledNotice was called
 	r.balancer.CaughtUp(now)
 }
 
-// processStalled notifies the balancer of a stall. Where the endpoint list's lease is over by now, gossip is to help.
-func (r *Router) processStalled(late time.Duration, now monotonic.Time) {
-	if late > loggedStallThreshold {
-		slog.Warn("process stalled", "duration", late.Round(time.Millisecond))
+// processStalled notifies the balancer of a stall. If the lease on the endpoint list has expired by now, it lets gossip
+// query the peers for their views.
+func (r *Router) processStalled(span time.Duration, now monotonic.Time) {
+	if span > loggedStallThreshold {
+		slog.Warn("process stalled", "duration", span.Round(time.Millisecond))
 	}
-	r.balancer.ProcessStalled(late, now)
+	r.balancer.ProcessStalled(span, now)
 	if r.drivers.HasUnhandledNotice != nil {
 		r.balancer.AwaitCatchUp(now)
 	}
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -7,8 +7,8 @@
 	"laurelring/decision/monotonic"
 )
 
-// attemptTimers holds the attempts in flight, ordered by when they are to be canceled and then by when they were started,
-// so that the same events lead to the same actions.
+// attemptTimers holds the attempts in flight, ordered by their cancellation times and then by the order in which they
+// were started. The second criterion makes the router deterministic: equal sequences of events lead to equal actions.
 type attemptTimers struct {
 	heap         attemptHeap
 	nextSequence int
@@ -22,13 +22,13 @@
 
 func (t *attemptTimers) remove(attempt *activeAttempt) { heap.Remove(&t.heap, attempt.heapIndex) }
 
-// reset gives an attempt another moment to be canceled at.
+// reset changes the cancellation time of an attempt.
 func (t *attemptTimers) reset(attempt *activeAttempt, cancelAt monotonic.Time) {
 	attempt.cancelAt = cancelAt
 	heap.Fix(&t.heap, attempt.heapIndex)
 }
 
-// limit has every attempt canceled at a moment at the latest.
+// limit brings the cancellation times of all attempts forward to cancelAt if they are later.
 func (t *attemptTimers) limit(cancelAt monotonic.Time) {
 	for _, attempt := range t.heap {
 		attempt.cancelAt = min(attempt.cancelAt, cancelAt)
@@ -36,7 +36,7 @@
 	heap.Init(&t.heap)
 }
 
-// overdue returns the first attempt that is to be canceled by now, or nil.
+// overdue returns the attempt with the earliest cancellation time if that time has come, and nil otherwise.
 func (t *attemptTimers) overdue(now monotonic.Time) *activeAttempt {
 	if len(t.heap) == 0 || t.heap[0].cancelAt > now {
 		return nil
@@ -44,7 +44,7 @@
 	return t.heap[0]
 }
 
-// limitWait returns a wait, cut short by the first timer.
+// limitWait returns the given wait, or the time until the first timer expires if that is less.
 func (t *attemptTimers) limitWait(wait time.Duration, now monotonic.Time) time.Duration {
 	if len(t.heap) == 0 {
 		return wait
