--- a/internal/routing/endpointlist.go
+++ b/internal/routing/endpointlist.go
@@ -99,7 +99,7 @@
 	if addressChanged || !entry.Present {
 		r.drivers.CloseIdleConnections(address)
 	}
-	record.update(entry, r.list.revision, now)
+	record.list(entry, r.list.revision, now)
 	record.departed = r.isDeparted(record, now)
 	r.verifyBuild(record.listed.Build)
 	r.balancer.UpdateEndpoint(record.endpoint, record.status(), now)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// update updates the record with an entry of the endpoint list of the given revision.
-func (record *endpointRecord) update(entry protocol.EndpointEntry, revision int64, now monotonic.Time) {
+// list updates the record with an entry of the endpoint list of the given revision.
+func (record *endpointRecord) list(entry protocol.EndpointEntry, revision int64, now monotonic.Time) {
 	// An endpoint that a newer list showed as draining or removed is not ready until it restarts, or until the
 	// revisions of discovery reach the revision of that list.
 	sameIncarnation := record.listed.StartedAt == entry.StartedAt && record.listed.Build == entry.Build
