--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,5 +1,6 @@
-// Package schedule decides when background jobs run, so that they never delay requests: by priority, within budgets of
-// time, bytes and descriptors, and fairly among jobs of equal priority. It does no I/O and reads no clock.
+// Package schedule decides when background jobs run, so that they never delay requests. It orders jobs by priority,
+// keeps them within budgets of time, bytes and descriptors, and is fair among jobs of equal priority. It does no I/O
+// and reads no clock.
 package schedule
 
 import (
@@ -12,18 +13,18 @@
 	"laurelring/internal/seededrand"
 )
 
-// Limits are the budgets of all jobs together.
+// Limits holds the limits and budgets of all jobs together.
 type Limits struct {
-	Window        time.Duration // time constant with which spent time and bytes decay
-	WorkTime      time.Duration // within the window
-	Bytes         int64         // within the window
-	Descriptors   int           // held at once
-	MaxConcurrent int           // jobs that run at once
-	MaxJobs       int           // known at once
-	MaxDeferral   time.Duration // a due job waits at most this long, or twice its period if that is less, for requests to clear
+	Window        time.Duration // time constant of the exponential decay of the time and bytes spent
+	WorkTime      time.Duration // budget of running time within the window
+	Bytes         int64         // budget of transferred bytes within the window
+	Descriptors   int           // maximum number held by running jobs at the same time
+	MaxConcurrent int           // maximum number of jobs that run at the same time
+	MaxJobs       int           // maximum number of jobs in the scheduler
+	MaxDeferral   time.Duration // longest wait of a due job for requests to clear; twice its period if that is less
 }
 
-// DefaultLimits leave nineteen twentieths of one core to requests.
+// DefaultLimits leaves 95% of one core to requests.
 var DefaultLimits = Limits{
 	Window:        10 * time.Second,
 	WorkTime:      500 * time.Millisecond,
@@ -34,38 +35,38 @@
 	MaxDeferral:   30 * time.Second,
 }
 
-// jitterDivisor is the part of its period by which a job's next run is delayed at most, at random.
+// A job's next run is delayed by a random time of up to its period divided by jitterDivisor.
 const jitterDivisor = 10
 
-// Job is work that runs periodically, or once. Its owner executes it; the scheduler only says when.
+// Job is background work that runs periodically or once. Its owner runs it, and the scheduler only decides when.
 type Job struct {
 	Name        string
-	Priority    int           // a higher one goes first
-	Period      time.Duration // 0: once
-	Descriptors int           // that it holds while it runs
+	Priority    int           // jobs with higher values run first
+	Period      time.Duration // 0 for a job that runs once
+	Descriptors int           // number of descriptors that the job holds while it runs
 
 	dueAt    monotonic.Time
 	running  bool
 	removed  bool
-	usedTime float64 // of its runs, decaying: among equals the job that used least goes first
-	usedAt   monotonic.Time
-	order    int // in which jobs were added
+	usedTime float64        // decaying running time; of jobs with equal priority, the one with the least runs first
+	usedAt   monotonic.Time // time to which usedTime has decayed
+	order    int            // number of the job in the order in which jobs were added
 }
 
-// Scheduler holds the jobs. It is not safe for concurrent use.
+// Scheduler holds the jobs and decides which job runs next. It is not safe for concurrent use.
 type Scheduler struct {
 	limits      Limits
 	random      *seededrand.Source
 	jobs        []*Job
-	added       int
+	jobsAdded   int
 	running     int
-	descriptors int     // held by running jobs
-	spentTime   float64 // decaying
-	spentBytes  float64 // decaying
-	spentAt     monotonic.Time
+	descriptors int            // held by running jobs
+	spentTime   float64        // decaying running time of all jobs
+	spentBytes  float64        // decaying number of transferred bytes
+	spentAt     monotonic.Time // time to which spentTime and spentBytes have decayed
 }
 
-// ErrTooManyJobs is returned by Add at Limits.MaxJobs.
+// ErrTooManyJobs is returned by Add if the scheduler already holds Limits.MaxJobs jobs.
 var ErrTooManyJobs = errors.New("too many background jobs")
 
 // New returns a scheduler without jobs. Gateways with different seeds run their jobs at different times.
@@ -73,23 +74,23 @@
 	return &Scheduler{random: seededrand.New(seed), limits: limits}
 }
 
-// Add adds a job. Its first run is at a random moment within its period, each further one a period after the end of the
-// last and up to a tenth of the period later.
+// Add adds a job. Its first run is due at a random time within its period. Each further run is due one period after the
+// end of the previous run, plus a random delay of up to a tenth of the period.
 func (s *Scheduler) Add(job *Job, now monotonic.Time) error {
 	if len(s.jobs) >= s.limits.MaxJobs {
 		return ErrTooManyJobs
 	}
-	s.added++
+	s.jobsAdded++
 	job.dueAt = now + s.random.Duration(job.Period)
-	job.order, job.removed, job.running = s.added, false, false
+	job.order, job.removed, job.running = s.jobsAdded, false, false
 	s.jobs = append(s.jobs, job)
 	return nil
 }
 
-// RunSoon makes a job due now.
+// RunSoon makes a job due now unless it is due already.
 func (s *Scheduler) RunSoon(job *Job, now monotonic.Time) { job.dueAt = min(job.dueAt, now) }
 
-// Remove removes a job. One that runs keeps its descriptors until Finish.
+// Remove removes a job. A running job holds its descriptors until Finish is called.
 func (s *Scheduler) Remove(job *Job) {
 	job.removed = true
 	if i := slices.Index(s.jobs, job); i >= 0 {
@@ -97,35 +98,36 @@
 	}
 }
 
-// decay lets what was spent decay until now.
+// decay applies the decay of the time and bytes spent up to now.
 func (s *Scheduler) decay(now monotonic.Time) {
 	factor := math.Exp(-float64(max(0, now-s.spentAt)) / float64(s.limits.Window))
 	s.spentTime, s.spentBytes, s.spentAt = s.spentTime*factor, s.spentBytes*factor, max(now, s.spentAt)
 }
 
-// recentTime returns the time that the job used, decayed until now.
+// recentTime returns the decaying running time of the job at the given time.
 func (j *Job) recentTime(now monotonic.Time, window time.Duration) float64 {
 	return j.usedTime * math.Exp(-float64(max(0, now-j.usedAt))/float64(window))
 }
 
-// Next returns the job to run now, which is then running until Finish, or nil and when to ask again. While requests
-// wait a job runs only after it was deferred for as long as it may be, and alone.
-func (s *Scheduler) Next(now monotonic.Time, requestsWait bool) (*Job, monotonic.Time) {
+// Next returns the job to run now, which counts as running until Finish is called. If there is none, Next returns nil
+// and the time at which to ask again. While requests wait, a job runs only after its maximum deferral, and no other job
+// runs at the same time.
+func (s *Scheduler) Next(now monotonic.Time, requestsWaiting bool) (*Job, monotonic.Time) {
 	s.decay(now)
 	askAgain := now + s.limits.Window
-	if s.running >= s.limits.MaxConcurrent || requestsWait && s.running > 0 {
-		return nil, askAgain // the end of a job comes first
+	if s.running >= s.limits.MaxConcurrent || requestsWaiting && s.running > 0 {
+		return nil, askAgain // a running job has to end first
 	}
 	if s.spentTime >= float64(s.limits.WorkTime) || s.spentBytes >= float64(s.limits.Bytes) {
 		return nil, now + s.recoveryTime()
 	}
-	var best *Job
+	var next *Job
 	for _, job := range s.jobs {
 		if job.running {
 			continue
 		}
 		runAt := job.dueAt
-		if requestsWait {
+		if requestsWaiting {
 			runAt += s.deferral(job)
 		}
 		if runAt > now {
@@ -133,23 +135,23 @@
 			continue
 		}
 		if s.descriptors+job.Descriptors > s.limits.Descriptors {
-			continue // until a job ends
+			continue // wait for another job to end
 		}
-		if best == nil || s.precedes(job, best, now) {
-			best = job
+		if next == nil || s.precedes(job, next, now) {
+			next = job
 		}
 	}
-	if best == nil {
+	if next == nil {
 		return nil, askAgain
 	}
-	best.running = true
+	next.running = true
 	s.running++
-	s.descriptors += best.Descriptors
-	return best, now
+	s.descriptors += next.Descriptors
+	return next, now
 }
 
-// precedes reports whether a due job goes before another: a starved job first, then by priority, then the one that
-// used less time lately, then the one that has been due for longer.
+// precedes reports whether a due job runs before another. Starved jobs come first. Then the order is by priority, by
+// recent running time, the least first, by due time, and by the order in which the jobs were added.
 func (s *Scheduler) precedes(job, other *Job, now monotonic.Time) bool {
 	if starved := s.isStarved(job, now); starved != s.isStarved(other, now) {
 		return starved
@@ -164,7 +166,7 @@
 	return job.dueAt < other.dueAt || job.dueAt == other.dueAt && job.order < other.order
 }
 
-// deferral returns how long a due job waits for requests to clear.
+// deferral returns the maximum time for which a due job is deferred while requests wait.
 func (s *Scheduler) deferral(job *Job) time.Duration {
 	if job.Period > 0 {
 		return min(s.limits.MaxDeferral, 2*job.Period)
@@ -176,14 +178,14 @@
 	return now-job.dueAt > max(2*job.Period, s.limits.MaxDeferral)
 }
 
-// recoveryTime returns how long until what was spent has decayed to the budgets.
+// recoveryTime returns the time until the time and bytes spent have decayed to the budgets.
 func (s *Scheduler) recoveryTime() time.Duration {
 	excess := max(s.spentTime/float64(s.limits.WorkTime), s.spentBytes/float64(s.limits.Bytes), 1)
 	return time.Duration(math.Ceil(math.Log(excess)*float64(s.limits.Window))) + time.Millisecond
 }
 
-// Finish reports that a running job has ended, how long it ran and how many bytes it transferred. A job that runs once
-// is removed.
+// Finish records that a running job has ended, the time that it took and the number of bytes that it transferred. A job
+// without a period is removed.
 func (s *Scheduler) Finish(job *Job, took time.Duration, bytes int64, now monotonic.Time) {
 	if !job.running {
 		return
