--- a/internal/protocol/controller.go
+++ b/internal/protocol/controller.go
@@ -108,8 +108,8 @@
 		return errAnswerWithoutID
 	}
 	id := int(idField.Num)
-	if fault := root.Get("error"); fault.Exists() {
-		outcome, err := parseCallError(fault.Get("message").Str)
+	if callError := root.Get("error"); callError.Exists() {
+		outcome, err := parseCallError(callError.Get("message").Str)
 		if err != nil {
 			return err
 		}
--- a/internal/protocol/evidence.go
+++ b/internal/protocol/evidence.go
@@ -23,16 +23,16 @@
 // counters (1), the number of observations (1), the counters (varints), the observations. An observation is the
 // endpoint's number (4), its utilization in percent (1), successes (1) and losses (1).
 const (
-	evidenceCountedAt        = 1
-	evidenceBuild            = 9
-	evidenceCounterCount     = 11
-	evidenceObservationCount = 12
-	evidenceHeaderSize       = 13
+	evidenceCountedAtOffset        = 1
+	evidenceBuildOffset            = 9
+	evidenceCounterCountOffset     = 11
+	evidenceObservationCountOffset = 12
+	evidenceHeaderSize             = 13
 
-	observationSize        = 7
-	observationUtilization = 4
-	observationSuccesses   = 5
-	observationLosses      = 6
+	observationSize              = 7
+	observationUtilizationOffset = 4
+	observationSuccessesOffset   = 5
+	observationLossesOffset      = 6
 
 	noUtilization         = 255 // in place of a percentage
 	maxEncodedUtilization = 2   // larger ones are cut
@@ -41,12 +41,12 @@
 // Layout of a voter report, little-endian: the tag, when it was found (8 bytes), the build (2), the stage (1), the
 // verdict (1), the cost of the baseline (4, floating point), the numbers of the outliers (4 each).
 const (
-	voterFoundAt      = 1
-	voterBuild        = 9
-	voterStage        = 11
-	voterVerdict      = 12
-	voterBaselineCost = 13
-	voterHeaderSize   = 17
+	voterFoundAtOffset      = 1
+	voterBuildOffset        = 9
+	voterStageOffset        = 11
+	voterVerdictOffset      = 12
+	voterBaselineCostOffset = 13
+	voterHeaderSize         = 17
 
 	endpointNumberSize = 4
 )
@@ -67,34 +67,34 @@
 		b = binary.LittleEndian.AppendUint32(b, numberOf(observation.Endpoint))
 		b = append(b, encodeUtilization(observation.Utilization),
 			uint8(min(observation.Successes, 255)), uint8(min(observation.Losses, 255)))
-		b[evidenceObservationCount]++
+		b[evidenceObservationCountOffset]++
 	}
 	return b
 }
 
 // DecodeEvidenceReport reads a datagram of a sender; nil if it holds no evidence report. Observations of endpoints that
 // are unknown here are left out.
-func DecodeEvidenceReport(data []byte, sender int, endpoint func(number uint32) *decision.Endpoint) *decision.EvidenceReport {
+func DecodeEvidenceReport(data []byte, sender int, endpointByNumber func(number uint32) *decision.Endpoint) *decision.EvidenceReport {
 	if len(data) < evidenceHeaderSize || data[0] != evidenceReportTag {
 		return nil
 	}
-	counters, rest, ok := decodeCounters(data[evidenceHeaderSize:], int(data[evidenceCounterCount]))
-	if !ok || len(rest) != observationSize*int(data[evidenceObservationCount]) {
+	counters, rest, ok := decodeCounters(data[evidenceHeaderSize:], int(data[evidenceCounterCountOffset]))
+	if !ok || len(rest) != observationSize*int(data[evidenceObservationCountOffset]) {
 		return nil
 	}
 	report := &decision.EvidenceReport{
 		Sender:    sender,
-		CountedAt: time.Duration(binary.LittleEndian.Uint64(data[evidenceCountedAt:])),
-		Build:     int(binary.LittleEndian.Uint16(data[evidenceBuild:])),
+		CountedAt: time.Duration(binary.LittleEndian.Uint64(data[evidenceCountedAtOffset:])),
+		Build:     int(binary.LittleEndian.Uint16(data[evidenceBuildOffset:])),
 		Counters:  counters,
 	}
 	for ; len(rest) > 0; rest = rest[observationSize:] {
-		if it := endpoint(binary.LittleEndian.Uint32(rest)); it != nil {
+		if endpoint := endpointByNumber(binary.LittleEndian.Uint32(rest)); endpoint != nil {
 			report.Observations = append(report.Observations, decision.Observation{
-				Endpoint:    it,
-				Utilization: decodeUtilization(rest[observationUtilization]),
-				Successes:   int(rest[observationSuccesses]),
-				Losses:      int(rest[observationLosses]),
+				Endpoint:    endpoint,
+				Utilization: decodeUtilization(rest[observationUtilizationOffset]),
+				Successes:   int(rest[observationSuccessesOffset]),
+				Losses:      int(rest[observationLossesOffset]),
 			})
 		}
 	}
@@ -142,27 +142,27 @@
 
 // DecodeVoterReport reads a datagram of a sender; nil if it holds no voter report, or one with a cost that cannot be.
 // Outliers that are unknown here are left out.
-func DecodeVoterReport(data []byte, sender int, endpoint func(number uint32) *decision.Endpoint) *decision.VoterReport {
+func DecodeVoterReport(data []byte, sender int, endpointByNumber func(number uint32) *decision.Endpoint) *decision.VoterReport {
 	if len(data) < voterHeaderSize || (len(data)-voterHeaderSize)%endpointNumberSize != 0 || data[0] != voterReportTag {
 		return nil
 	}
-	verdict := decision.Verdict(data[voterVerdict])
-	cost := float64(math.Float32frombits(binary.LittleEndian.Uint32(data[voterBaselineCost:])))
+	verdict := decision.Verdict(data[voterVerdictOffset])
+	cost := float64(math.Float32frombits(binary.LittleEndian.Uint32(data[voterBaselineCostOffset:])))
 	// A cost that is no finite number would make every later figure that is smoothed from it none either.
 	if verdict > decision.VerdictRollBack || math.IsNaN(cost) || math.IsInf(cost, 0) || cost < 0 {
 		return nil
 	}
 	report := &decision.VoterReport{
 		Sender:       sender,
-		FoundAt:      time.Duration(binary.LittleEndian.Uint64(data[voterFoundAt:])),
-		Build:        int(binary.LittleEndian.Uint16(data[voterBuild:])),
-		Stage:        int(data[voterStage]),
+		FoundAt:      time.Duration(binary.LittleEndian.Uint64(data[voterFoundAtOffset:])),
+		Build:        int(binary.LittleEndian.Uint16(data[voterBuildOffset:])),
+		Stage:        int(data[voterStageOffset]),
 		Verdict:      verdict,
 		BaselineCost: cost,
 	}
 	for rest := data[voterHeaderSize:]; len(rest) > 0; rest = rest[endpointNumberSize:] {
-		if it := endpoint(binary.LittleEndian.Uint32(rest)); it != nil {
-			report.Outliers = append(report.Outliers, it)
+		if endpoint := endpointByNumber(binary.LittleEndian.Uint32(rest)); endpoint != nil {
+			report.Outliers = append(report.Outliers, endpoint)
 		}
 	}
 	return report
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -55,19 +55,19 @@
 func (r *fieldReader) duration(path string) time.Duration { return durationFromMs(r.number(path)) }
 
 func (r *fieldReader) numbers(path string) []float64 {
-	var all []float64
+	var numbers []float64
 	for _, value := range r.list(path) {
-		all = append(all, value.Num)
+		numbers = append(numbers, value.Num)
 	}
-	return all
+	return numbers
 }
 
 func (r *fieldReader) texts(path string) []string {
-	var all []string
+	var texts []string
 	for _, value := range r.list(path) {
-		all = append(all, value.Str)
+		texts = append(texts, value.Str)
 	}
-	return all
+	return texts
 }
 
 // maxMs bounds what is read as a duration, about 127 years: more would not fit into one.
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -20,19 +20,19 @@
 
 // The positions of a request's parts. Only a write has a body.
 const (
-	partCommand = iota
-	partKey
-	partID
-	partAttributes
-	partBody
+	argCommand = iota
+	argKey
+	argID
+	argAttributes
+	argBody
 )
 
 // The faults of a request, as the client is told them.
 var (
-	errPartCount         = errors.New("wrong number of words")
-	errRequestID         = errors.New("no id")
+	errArgumentCount     = errors.New("wrong number of words")
+	errInvalidRequestID  = errors.New("no id")
 	errUnknownOpType     = errors.New("unknown op type")
-	errClientTimeout     = errors.New("d is no time")
+	errInvalidTimeout    = errors.New("d is no time")
 	errMissingAttributes = errors.New("c or d is missing")
 )
 
@@ -51,28 +51,28 @@
 
 // ParseRequest parses a client's request, whose parts stay in use. Op types are found by GatewaySettings.RequestNames.
 // What no endpoint could use is an error, whose text is meant for the client.
-func ParseRequest(parts [][]byte, opTypes map[string]*decision.OpType) (Request, error) {
-	command, count := string(parts[partCommand]), partBody
+func ParseRequest(args [][]byte, opTypes map[string]*decision.OpType) (Request, error) {
+	command, count := string(args[argCommand]), argBody
 	if command == commandWrite {
-		count = partBody + 1
+		count = argBody + 1
 	}
-	if len(parts) != count {
-		return Request{}, errPartCount
+	if len(args) != count {
+		return Request{}, errArgumentCount
 	}
-	id := string(parts[partID])
+	id := string(args[argID])
 	if id == "" || len(id) > maxRequestIDSize {
-		return Request{}, errRequestID
+		return Request{}, errInvalidRequestID
 	}
-	attributes, err := parseAttributes(string(parts[partAttributes]), command, opTypes)
+	attributes, err := parseAttributes(string(args[argAttributes]), command, opTypes)
 	if err != nil {
 		return Request{}, err
 	}
 	return Request{
 		OpType:    attributes.opType,
-		Key:       hashKey(parts[partKey]),
+		Key:       hashKey(args[argKey]),
 		ID:        id,
 		Remaining: attributes.remaining,
-		Encode:    func(wait time.Duration) []byte { return encodeRequest(parts, attributes, wait) },
+		Encode:    func(wait time.Duration) []byte { return encodeRequest(args, attributes, wait) },
 	}, nil
 }
 
@@ -88,9 +88,9 @@
 
 // attributes are a request's names and values, such as "c=look,d=1500".
 type attributes struct {
-	opType                *decision.OpType
-	remaining             time.Duration
-	beforeTime, afterTime string // the text around the value of d
+	opType                      *decision.OpType
+	remaining                   time.Duration
+	beforeTimeout, afterTimeout string // the text around the value of d
 }
 
 func parseAttributes(text, command string, opTypes map[string]*decision.OpType) (attributes, error) {
@@ -109,15 +109,15 @@
 			parsed.opType = opType
 		case "d":
 			remaining, ok := parseClientTimeout(value)
-			if !ok || parsed.beforeTime != "" {
-				return attributes{}, errClientTimeout
+			if !ok || parsed.beforeTimeout != "" {
+				return attributes{}, errInvalidTimeout
 			}
 			parsed.remaining = remaining
-			parsed.beforeTime, parsed.afterTime = text[:start+len("d=")], text[start+len(attribute):]
+			parsed.beforeTimeout, parsed.afterTimeout = text[:start+len("d=")], text[start+len(attribute):]
 		}
 		start += len(attribute) + len(",")
 	}
-	if parsed.opType == nil || parsed.beforeTime == "" {
+	if parsed.opType == nil || parsed.beforeTimeout == "" {
 		return attributes{}, errMissingAttributes
 	}
 	return parsed, nil
@@ -133,17 +133,17 @@
 }
 
 // encodeRequest returns a request as it came, but for its time.
-func encodeRequest(parts [][]byte, parsed attributes, wait time.Duration) []byte {
-	list := parsed.beforeTime + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + parsed.afterTime
-	size := 64 + len(parts[partKey]) + len(parts[partID]) + len(list) + len(parts[len(parts)-1])
+func encodeRequest(args [][]byte, parsed attributes, wait time.Duration) []byte {
+	attributeList := parsed.beforeTimeout + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + parsed.afterTimeout
+	size := 64 + len(args[argKey]) + len(args[argID]) + len(attributeList) + len(args[len(args)-1])
 	b := make([]byte, 0, size)
-	b = redcon.AppendArray(b, len(parts))
-	b = redcon.AppendBulk(b, parts[partCommand])
-	b = redcon.AppendBulk(b, parts[partKey])
-	b = redcon.AppendBulk(b, parts[partID])
-	b = redcon.AppendBulkString(b, list)
-	if len(parts) > partBody {
-		b = redcon.AppendBulk(b, parts[partBody])
+	b = redcon.AppendArray(b, len(args))
+	b = redcon.AppendBulk(b, args[argCommand])
+	b = redcon.AppendBulk(b, args[argKey])
+	b = redcon.AppendBulk(b, args[argID])
+	b = redcon.AppendBulkString(b, attributeList)
+	if len(args) > argBody {
+		b = redcon.AppendBulk(b, args[argBody])
 	}
 	return b
 }
--- a/internal/protocol/requestscanner.go
+++ b/internal/protocol/requestscanner.go
@@ -8,26 +8,26 @@
 
 // Bounds of requests, in bytes but for the first.
 const (
-	maxRequestParts  = 8       // of one request
-	maxRequestIDSize = 256     // of a request's id
-	maxSkippedSize   = 1 << 20 // of a part that is skipped: the connection is not read on behind a larger one
-	maxInlineSize    = 512     // of a request that is typed as a line
-	requestMargin    = 8 << 10 // of a request beside its value
+	maxRequestArguments    = 8       // of one request
+	maxRequestIDSize       = 256     // of a request's id
+	maxSkippedArgumentSize = 1 << 20 // of a part that is skipped: the connection is not read on behind a larger one
+	maxInlineRequestSize   = 512     // of a request that is typed as a line
+	maxRequestOverhead     = 8 << 10 // of a request beside its value
 )
 
 // MaxRequestSize is the size of the longest request, and of the buffer that holds it.
-const MaxRequestSize = MaxValueSize + requestMargin
+const MaxRequestSize = MaxValueSize + maxRequestOverhead
 
 var errFramingLost = errors.New("framing is lost")
 
 // RequestScanner finds complete RESP requests in what a client sends. It guards the parser behind it, which trusts
 // lengths and keeps a part of any size in memory.
 type RequestScanner struct {
-	scanned  int  // bytes of the present request in the buffer that are understood
-	parts    int  // of the present request still to come
-	started  bool // its array header was read
-	tooLarge bool // it is skipped
-	skipping int  // bytes still to be skipped
+	scanned       int  // bytes of the present request in the buffer that are understood
+	remainingArgs int  // of the present request still to come
+	started       bool // its array header was read
+	tooLarge      bool // it is skipped
+	bytesToSkip   int  // bytes still to be skipped
 }
 
 // Started reports whether a request has started, of which the buffer may hold nothing any more.
@@ -37,10 +37,10 @@
 // too large has been removed from the buffer. After an error nothing that follows can be understood.
 func (s *RequestScanner) Next(b *Buffer) (size int, tooLarge bool, err error) {
 	for {
-		if s.skip(b); s.skipping > 0 {
+		if s.skip(b); s.bytesToSkip > 0 {
 			return 0, false, nil
 		}
-		if s.started && s.parts == 0 {
+		if s.started && s.remainingArgs == 0 {
 			size, tooLarge = s.scanned, s.tooLarge
 			*s = RequestScanner{}
 			return size, tooLarge, nil
@@ -54,7 +54,7 @@
 			return size, false, err
 		}
 		header, err := scanRequestHeader(rest)
-		if err != nil || header.size == 0 {
+		if err != nil || header.lineSize == 0 {
 			return 0, false, err
 		}
 		if !s.started {
@@ -63,7 +63,7 @@
 			}
 			continue
 		}
-		complete, err := s.scanPart(b, header)
+		complete, err := s.scanArgument(b, header)
 		if err != nil || !complete {
 			return 0, false, err
 		}
@@ -72,32 +72,32 @@
 
 // skip removes bytes of a request that is too large.
 func (s *RequestScanner) skip(b *Buffer) {
-	n := min(s.skipping, len(b.Bytes()))
+	n := min(s.bytesToSkip, len(b.Bytes()))
 	b.Discard(n)
-	s.skipping -= n
+	s.bytesToSkip -= n
 }
 
 // startRequest takes in the header of the array that is a request.
 func (s *RequestScanner) startRequest(header requestHeader) error {
-	if header.number < 1 || header.number > maxRequestParts {
+	if header.length < 1 || header.length > maxRequestArguments {
 		return errFramingLost
 	}
-	s.started, s.parts = true, header.number
-	s.scanned += header.size
+	s.started, s.remainingArgs = true, header.length
+	s.scanned += header.lineSize
 	return nil
 }
 
-// scanPart takes in a part whose header has been read, once it is complete.
-func (s *RequestScanner) scanPart(b *Buffer, header requestHeader) (complete bool, err error) {
-	if header.kind != '$' || header.number > maxSkippedSize {
+// scanArgument takes in a part whose header has been read, once it is complete.
+func (s *RequestScanner) scanArgument(b *Buffer, header requestHeader) (complete bool, err error) {
+	if header.prefix != '$' || header.length > maxSkippedArgumentSize {
 		return false, errFramingLost
 	}
 	rest := b.Bytes()[s.scanned:]
-	size := header.size + header.number + len(lineEnd)
+	size := header.lineSize + header.length + len(lineEnd)
 	switch {
-	case s.tooLarge || s.scanned+size > MaxRequestSize || header.number > MaxValueSize:
+	case s.tooLarge || s.scanned+size > MaxRequestSize || header.length > MaxValueSize:
 		b.Discard(s.scanned)
-		s.tooLarge, s.scanned, s.skipping = true, 0, size
+		s.tooLarge, s.scanned, s.bytesToSkip = true, 0, size
 	case len(rest) < size:
 		return false, nil
 	case string(rest[size-len(lineEnd):size]) != lineEnd:
@@ -105,15 +105,15 @@
 	default:
 		s.scanned += size
 	}
-	s.parts--
+	s.remainingArgs--
 	return true, nil
 }
 
 // requestHeader is the line before an array or a part: "*4" or "$12".
 type requestHeader struct {
-	kind   byte
-	number int // of parts, or of bytes
-	size   int // of the line with its end; 0 while it is not complete
+	prefix   byte
+	length   int // of parts, or of bytes
+	lineSize int // of the line with its end; 0 while it is not complete
 }
 
 func scanRequestHeader(data []byte) (requestHeader, error) {
@@ -126,11 +126,11 @@
 	case end < 3 || data[end-1] != '\r':
 		return requestHeader{}, errFramingLost
 	}
-	number, ok := parseLength(data[1 : end-1])
+	length, ok := parseLength(data[1 : end-1])
 	if !ok {
 		return requestHeader{}, errFramingLost
 	}
-	return requestHeader{kind: data[0], number: number, size: end + 1}, nil
+	return requestHeader{prefix: data[0], length: length, lineSize: end + 1}, nil
 }
 
 // parseLength parses a length, which has digits alone: no sign, as the number parser of the language would take.
@@ -147,10 +147,10 @@
 // scanInline returns the size of a request that is typed as a plain line, 0 while it is not complete.
 func scanInline(data []byte) (size int, err error) {
 	end := bytes.IndexByte(data, '\n')
-	if end < 0 && len(data) < maxInlineSize {
+	if end < 0 && len(data) < maxInlineRequestSize {
 		return 0, nil
 	}
-	if end < 0 || end >= maxInlineSize || bytes.ContainsAny(data[:end], "\"'\\") {
+	if end < 0 || end >= maxInlineRequestSize || bytes.ContainsAny(data[:end], "\"'\\") {
 		return 0, errFramingLost
 	}
 	return end + 1, nil
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -17,9 +17,9 @@
 	maxHeaderSize     = 32 // of the line before an array or a bulk string
 	maxLoadReportSize = 4 << 10
 
-	lineEnd        = "\r\n"
-	responseHeader = "*3"
-	nullHeader     = "$-1"
+	lineEnd             = "\r\n"
+	responseArrayHeader = "*3"
+	nullBulkString      = "$-1"
 )
 
 // MaxResponseSize is the size of the longest response, and of the buffer that holds it.
@@ -40,7 +40,7 @@
 // ResponseReader reads an endpoint's responses one after the other: arrays, or error lines. Anything else is malformed.
 type ResponseReader struct {
 	scanned    int // bytes of the present response that are understood
-	part       responsePart
+	nextPart   responsePart
 	value      span
 	loadReport span
 }
@@ -66,34 +66,34 @@
 		if err != nil || size == 0 {
 			return Response{}, false, err
 		}
-		if r.part == responseArray {
+		if r.nextPart == responseArray {
 			if line[0] == '-' {
 				return r.finishError(b, line, size)
 			}
-			if string(line) != responseHeader {
+			if string(line) != responseArrayHeader {
 				return Response{}, false, errMalformedResponse
 			}
-			r.part, r.scanned = responseValue, size
+			r.nextPart, r.scanned = responseValue, size
 			continue
 		}
 		complete, err := r.scanPart(data, line, size)
 		if err != nil || !complete {
 			return Response{}, false, err
 		}
-		if r.part == responseLoadReport {
+		if r.nextPart == responseLoadReport {
 			return r.finish(b), true, nil
 		}
-		r.part++
+		r.nextPart++
 	}
 }
 
 // scanPart takes in the present part, once it is complete. Its header is a line of a size in the buffer.
 func (r *ResponseReader) scanPart(data, line []byte, size int) (complete bool, err error) {
-	if r.part == responseNull && string(line) != nullHeader {
+	if r.nextPart == responseNull && string(line) != nullBulkString {
 		return false, errMalformedResponse
 	}
 	length, ok := parseBulkStringHeader(line)
-	if !ok || length > MaxValueSize || r.part == responseLoadReport && length > maxLoadReportSize {
+	if !ok || length > MaxValueSize || r.nextPart == responseLoadReport && length > maxLoadReportSize {
 		return false, errMalformedResponse
 	}
 	end := r.scanned + size
@@ -109,7 +109,7 @@
 		}
 	}
 	r.scanned = end
-	switch r.part {
+	switch r.nextPart {
 	case responseValue:
 		r.value = content
 	case responseLoadReport:
@@ -150,14 +150,14 @@
 	if line[0] != '$' {
 		return 0, false
 	}
-	if string(line[1:]) == nullLength {
+	if string(line[1:]) == nullBulkStringLength {
 		return -1, true
 	}
 	return parseLength(line[1:])
 }
 
-// nullLength stands for the length of a null.
-const nullLength = "-1"
+// nullBulkStringLength stands for the length of a null.
+const nullBulkStringLength = "-1"
 
 // scanResponseLine returns the line that the data begins with, without its end, and its size with it. The size is 0
 // while the line is not complete.
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -100,11 +100,11 @@
 		Zone:     r.integer("locality"),
 		Tick:     r.duration("period_ms"),
 	}
-	for i, lane := range r.list("lanes") {
-		config.OpTypes = append(config.OpTypes, r.opType(i, lane))
+	for i, opType := range r.list("lanes") {
+		config.OpTypes = append(config.OpTypes, r.opType(i, opType))
 	}
-	for _, org := range r.list("orgs") {
-		quota := r.get(org, "quota_rps", gjson.Number).Num
+	for _, tenant := range r.list("orgs") {
+		quota := r.get(tenant, "quota_rps", gjson.Number).Num
 		config.Tenants = append(config.Tenants, decision.TenantConfig{QuotaRate: quota})
 	}
 	config.Attempts = r.attempts()
@@ -125,21 +125,21 @@
 	return config
 }
 
-func (r *settingsReader) opType(index int, lane gjson.Result) decision.OpTypeConfig {
-	idempotency, knownIdempotency := parseIdempotency(r.get(lane, "repeat", gjson.String).Str)
-	scope, knownScope := parseDeduplicationScope(lane.Get("dedup_scope").Str)
+func (r *settingsReader) opType(index int, object gjson.Result) decision.OpTypeConfig {
+	idempotency, knownIdempotency := parseIdempotency(r.get(object, "repeat", gjson.String).Str)
+	scope, knownScope := parseDeduplicationScope(object.Get("dedup_scope").Str)
 	if !knownIdempotency || !knownScope {
 		r.fail(fmt.Sprintf("lanes.%d", index), "has an unknown kind or group")
 	}
 	return decision.OpTypeConfig{
-		LatencyObjective: durationFromMs(r.get(lane, "aim_ms", gjson.Number).Num),
-		ObjectiveStretch: lane.Get("aim_stretch").Num,
-		ClientTimeout:    durationFromMs(r.get(lane, "give_up_ms", gjson.Number).Num),
-		PriorityWeight:   r.get(lane, "gain", gjson.Number).Num,
-		LateValueShare:   lane.Get("late_worth").Num,
+		LatencyObjective: durationFromMs(r.get(object, "aim_ms", gjson.Number).Num),
+		ObjectiveStretch: object.Get("aim_stretch").Num,
+		ClientTimeout:    durationFromMs(r.get(object, "give_up_ms", gjson.Number).Num),
+		PriorityWeight:   r.get(object, "gain", gjson.Number).Num,
+		LateValueShare:   object.Get("late_worth").Num,
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		DedupWindow:      durationFromMs(lane.Get("window_ms").Num),
+		DedupWindow:      durationFromMs(object.Get("window_ms").Num),
 	}
 }
 
@@ -148,10 +148,10 @@
 		Max:       r.integer("limits.max_attempts"),
 		MayCancel: r.boolean("limits.may_cancel"),
 	}
-	sent := r.boolean("limits.retry_after")
-	longest := r.duration("limits.max_retry_after_ms")
-	if sent {
-		config.MaxRetryAfter = longest
+	sendRetryAfter := r.boolean("limits.retry_after")
+	maxRetryAfter := r.duration("limits.max_retry_after_ms")
+	if sendRetryAfter {
+		config.MaxRetryAfter = maxRetryAfter
 	}
 	return config
 }
@@ -186,12 +186,12 @@
 // requestNames returns the name of each op type on the wire: idempotent ones are read, the others written.
 func (r *settingsReader) requestNames() []string {
 	var names []string
-	for _, lane := range r.list("lanes") {
+	for _, opType := range r.list("lanes") {
 		command := commandWrite
-		if kind, _ := parseIdempotency(lane.Get("repeat").Str); kind == decision.Idempotent {
+		if idempotency, _ := parseIdempotency(opType.Get("repeat").Str); idempotency == decision.Idempotent {
 			command = commandRead
 		}
-		names = append(names, requestName(command, r.get(lane, "name", gjson.String).Str))
+		names = append(names, requestName(command, r.get(opType, "name", gjson.String).Str))
 	}
 	return names
 }
