--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -55,19 +55,19 @@
 func (r *fieldReader) duration(path string) time.Duration { return durationFromMs(r.number(path)) }
 
 func (r *fieldReader) numbers(path string) []float64 {
-	var numbers []float64
+	var values []float64
 	for _, value := range r.list(path) {
-		numbers = append(numbers, value.Num)
+		values = append(values, value.Num)
 	}
-	return numbers
+	return values
 }
 
 func (r *fieldReader) texts(path string) []string {
-	var texts []string
+	var values []string
 	for _, value := range r.list(path) {
-		texts = append(texts, value.Str)
+		values = append(values, value.Str)
 	}
-	return texts
+	return values
 }
 
 // maxMs bounds what is read as a duration, about 127 years: more would not fit into one.
--- a/internal/protocol/requestscanner.go
+++ b/internal/protocol/requestscanner.go
@@ -54,7 +54,7 @@
 			return size, false, err
 		}
 		header, err := scanRequestHeader(rest)
-		if err != nil || header.lineSize == 0 {
+		if err != nil || header.size == 0 {
 			return 0, false, err
 		}
 		if !s.started {
@@ -83,7 +83,7 @@
 		return errFramingLost
 	}
 	s.started, s.remainingArgs = true, header.length
-	s.scanned += header.lineSize
+	s.scanned += header.size
 	return nil
 }
 
@@ -93,7 +93,7 @@
 		return false, errFramingLost
 	}
 	rest := b.Bytes()[s.scanned:]
-	size := header.lineSize + header.length + len(lineEnd)
+	size := header.size + header.length + len(lineEnd)
 	switch {
 	case s.tooLarge || s.scanned+size > MaxRequestSize || header.length > MaxValueSize:
 		b.Discard(s.scanned)
@@ -111,9 +111,9 @@
 
 // requestHeader is the line before an array or a part: "*4" or "$12".
 type requestHeader struct {
-	prefix   byte
-	length   int // of parts, or of bytes
-	lineSize int // of the line with its end; 0 while it is not complete
+	prefix byte
+	length int // of parts, or of bytes
+	size   int // of the line with its end; 0 while it is not complete
 }
 
 func scanRequestHeader(data []byte) (requestHeader, error) {
@@ -130,7 +130,7 @@
 	if !ok {
 		return requestHeader{}, errFramingLost
 	}
-	return requestHeader{prefix: data[0], length: length, lineSize: end + 1}, nil
+	return requestHeader{prefix: data[0], length: length, size: end + 1}, nil
 }
 
 // parseLength parses a length, which has digits alone: no sign, as the number parser of the language would take.
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -100,11 +100,11 @@
 		Zone:     r.integer("locality"),
 		Tick:     r.duration("period_ms"),
 	}
-	for i, opType := range r.list("lanes") {
-		config.OpTypes = append(config.OpTypes, r.opType(i, opType))
+	for i, opTypeObject := range r.list("lanes") {
+		config.OpTypes = append(config.OpTypes, r.opType(i, opTypeObject))
 	}
-	for _, tenant := range r.list("orgs") {
-		quota := r.get(tenant, "quota_rps", gjson.Number).Num
+	for _, tenantObject := range r.list("orgs") {
+		quota := r.get(tenantObject, "quota_rps", gjson.Number).Num
 		config.Tenants = append(config.Tenants, decision.TenantConfig{QuotaRate: quota})
 	}
 	config.Attempts = r.attempts()
@@ -186,12 +186,12 @@
 // requestNames returns the name of each op type on the wire: idempotent ones are read, the others written.
 func (r *settingsReader) requestNames() []string {
 	var names []string
-	for _, opType := range r.list("lanes") {
+	for _, opTypeObject := range r.list("lanes") {
 		command := commandWrite
-		if idempotency, _ := parseIdempotency(opType.Get("repeat").Str); idempotency == decision.Idempotent {
+		if idempotency, _ := parseIdempotency(opTypeObject.Get("repeat").Str); idempotency == decision.Idempotent {
 			command = commandRead
 		}
-		names = append(names, requestName(command, r.get(opType, "name", gjson.String).Str))
+		names = append(names, requestName(command, r.get(opTypeObject, "name", gjson.String).Str))
 	}
 	return names
 }
