--- a/internal/protocol/buffer.go
+++ b/internal/protocol/buffer.go
@@ -1,22 +1,23 @@
-// Package protocol translates between bytes and typed messages: RESP requests and responses, endpoint lists, the rollout
-// controller's JSON lines, datagrams between gateways, settings and configuration. Its state machines are fed bytes and
-// know no sockets.
+// Package protocol converts between bytes and typed messages: RESP requests and responses, endpoint lists, the rollout
+// controller's JSON lines, datagrams between gateways, settings and configuration. Its state machines are passed bytes
+// and do not use sockets.
 package protocol
 
-// Buffer is the read buffer of a connection: it grows as needed up to a limit, and is compacted in place.
+// Buffer is the read buffer of a connection. It grows as needed up to a maximum size, and is compacted in place.
 type Buffer struct {
 	data       []byte
-	start, end int // of the bytes read and not yet discarded
+	start, end int // range in data of the bytes read and not yet discarded
 	maxSize    int
 }
 
-// minBufferSize is the size that a buffer starts with, and the one it shrinks to when it is empty.
+// minBufferSize is the initial size of a buffer. An empty buffer shrinks back to it.
 const minBufferSize = 1 << 10
 
-// NewBuffer returns an empty buffer that grows to maxSize bytes at most.
+// NewBuffer returns an empty buffer that grows to at most maxSize bytes.
 func NewBuffer(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
-// Space returns where the next bytes are to be read into; it is empty once the buffer is full.
+// Space returns the free space of the buffer, into which the caller reads the next bytes. It is empty if the buffer is
+// full.
 func (b *Buffer) Space() []byte {
 	switch {
 	case b.start == b.end:
@@ -35,11 +36,11 @@
 	return b.data[b.end:]
 }
 
-// Commit appends the n bytes that were read into Space.
+// Commit marks the first n bytes of Space as read.
 func (b *Buffer) Commit(n int) { b.end += n }
 
-// Bytes returns what was read and not yet discarded. It is valid until the next call of Space.
+// Bytes returns the bytes read and not yet discarded. The slice is valid until the next call of Space.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Discard removes the first n bytes.
+// Discard removes the first n of the bytes that Bytes returns.
 func (b *Buffer) Discard(n int) { b.start += n }
--- a/internal/protocol/fields.go
+++ b/internal/protocol/fields.go
@@ -8,30 +8,32 @@
 	"github.com/tidwall/gjson"
 )
 
-// FieldError names a field of a JSON document that is missing or has an unusable value.
+// FieldError is the error for a field of a JSON document that is missing or has an invalid value.
 type FieldError struct {
-	Kind   string // of field, such as "setting"
-	Field  string // its path in the document
+	Kind   string // kind of field, such as "setting"
+	Field  string // path of the field in the document
 	Reason string
 }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s %q %s", e.Kind, e.Field, e.Reason) }
 
-// fieldReader reads the fields of a JSON object by their paths. Every read gives a value; the first fault of all reads
-// stays in err. Fields that are not read are ignored.
+// fieldReader reads the fields of a JSON object by their paths. Every read returns a value, even for an invalid field.
+// Fields that are not read are ignored.
 type fieldReader struct {
 	root gjson.Result
-	kind string // of field, for FieldError
-	err  error
+	kind string // FieldError.Kind of all errors
+	err  error  // error of the first invalid field that was read
 }
 
+// fail records an error for the field at path, unless an earlier read has failed.
 func (r *fieldReader) fail(path, reason string) {
 	if r.err == nil {
 		r.err = &FieldError{Kind: r.kind, Field: path, Reason: reason}
 	}
 }
 
-// get reads a field below an object. For booleans the type is gjson.True.
+// get reads the field at path, which is relative to object. It records an error if the field is missing or not of the
+// wanted type. For booleans the wanted type is gjson.True.
 func (r *fieldReader) get(object gjson.Result, path string, want gjson.Type) gjson.Result {
 	value := object.Get(path)
 	isBool := value.Type == gjson.True || value.Type == gjson.False
@@ -51,7 +53,7 @@
 func (r *fieldReader) json(path string) gjson.Result   { return r.get(r.root, path, gjson.JSON) }
 func (r *fieldReader) list(path string) []gjson.Result { return r.json(path).Array() }
 
-// duration reads a field in milliseconds.
+// duration reads a number of milliseconds.
 func (r *fieldReader) duration(path string) time.Duration { return durationFromMs(r.number(path)) }
 
 func (r *fieldReader) numbers(path string) []float64 {
@@ -70,9 +72,11 @@
 	return values
 }
 
-// maxMs bounds what is read as a duration, about 127 years: more would not fit into one.
+// maxMs is the longest duration that is read, about 127 years. It keeps the number of nanoseconds within the range of
+// time.Duration.
 const maxMs = 4e12
 
+// durationFromMs converts milliseconds to a duration of whole nanoseconds, limited to between -maxMs and maxMs.
 func durationFromMs(ms float64) time.Duration {
 	return time.Duration(math.Round(max(-maxMs, min(maxMs, ms)) * 1e6))
 }
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	maxViewHeaderSize = 1 + 2*binary.MaxVarintLen64 + 2 // the tag, revision, age, part, and number of parts
+	maxViewHeaderSize = 1 + 2*binary.MaxVarintLen64 + 2 // tag, revision, age, part, and number of parts
 	incarnationSize   = 4
 )
 
-// MaxIncarnationsPerView is how many incarnations one datagram of a view holds.
+// MaxIncarnationsPerView is the maximum number of incarnations in one part of a view, which is one datagram.
 const MaxIncarnationsPerView = (MaxDatagramSize - maxViewHeaderSize) / incarnationSize
 
-// Bounds of what a datagram may say, so that later sums do not overflow.
+// Upper bounds of the values in a datagram, which prevent overflows in later sums. A datagram that exceeds them is
+// invalid.
 const (
 	maxRevision = 1 << 62
 	maxAgeMs    = uint64(1 << 62 / time.Millisecond)
 )
 
-// EncodeGossipQuery returns a query as a datagram.
+// EncodeGossipQuery encodes a query as a datagram.
 func EncodeGossipQuery(query gossip.Query) []byte {
 	b := binary.AppendUvarint([]byte{gossipQueryTag}, uint64(query.Revision))
 	return binary.AppendUvarint(b, ceilMs(query.Age))
 }
 
-// DecodeGossipQuery reads a datagram and reports whether it holds a query.
+// DecodeGossipQuery decodes a datagram and reports whether it is a valid query.
 func DecodeGossipQuery(data []byte) (gossip.Query, bool) {
 	if len(data) == 0 || data[0] != gossipQueryTag {
 		return gossip.Query{}, false
@@ -36,7 +37,7 @@
 	return gossip.Query{Revision: revision, Age: age}, ok && len(rest) == 0
 }
 
-// EncodeGossipView returns a part of a view as a datagram.
+// EncodeGossipView encodes one part of a view as a datagram.
 func EncodeGossipView(view gossip.View) []byte {
 	b := binary.AppendUvarint([]byte{gossipViewTag}, uint64(view.Revision))
 	b = binary.AppendUvarint(b, ceilMs(view.Age))
@@ -47,7 +48,7 @@
 	return b
 }
 
-// DecodeGossipView reads a datagram and reports whether it holds a part of a view.
+// DecodeGossipView decodes a datagram and reports whether it is a valid part of a view.
 func DecodeGossipView(data []byte) (gossip.View, bool) {
 	if len(data) == 0 || data[0] != gossipViewTag {
 		return gossip.View{}, false
@@ -76,7 +77,7 @@
 	return int64(encodedRevision), time.Duration(ageMs) * time.Millisecond, data[size:], true
 }
 
-// ceilMs rounds up, so that what a peer is told is never younger than it is.
+// ceilMs converts an age to milliseconds. It rounds up, so that the age sent to a peer is never below the actual age.
 func ceilMs(age time.Duration) uint64 {
 	return uint64(max(age, 0)+time.Millisecond-1) / uint64(time.Millisecond)
 }
--- a/internal/protocol/reply.go
+++ b/internal/protocol/reply.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// A value is sent to a client as a header, the value as it came, and BulkStringEnd: it is not copied.
+// A value is sent to a client in three parts: BulkStringHeader, the unchanged value, and BulkStringEnd. This avoids a
+// copy of the value.
 
-// BulkStringHeader returns what precedes a value of a size in bytes.
+// BulkStringHeader returns the RESP header of a value of size bytes.
 func BulkStringHeader(size int) []byte { return []byte("$" + strconv.Itoa(size) + lineEnd) }
 
-// BulkStringEnd follows a value.
+// BulkStringEnd is the line end after a value.
 var BulkStringEnd = []byte(lineEnd)
 
-// FailedMessage is the error that a client gets for a request that may have executed.
+// FailedMessage is the error sent to a client for a failed request that may have executed.
 const FailedMessage = "ERR failed"
 
-// RejectedMessage returns the error that a client gets for a request that was rejected. It says in whole milliseconds
-// when to retry, where that is above 0.
+// RejectedMessage returns the error sent to a client for a rejected request. If retryAfter is above 0, the error ends
+// with it, rounded up to whole milliseconds.
 func RejectedMessage(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return "BUSY"
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -12,13 +12,13 @@
 	"laurelring/decision"
 )
 
-// The commands that carry requests.
+// The RESP commands of requests.
 const (
 	commandRead  = "API.READ"
 	commandWrite = "API.WRITE"
 )
 
-// The positions of a request's parts. Only a write has a body.
+// The positions of a request's arguments, starting with the command itself. Only a write has a body.
 const (
 	argCommand = iota
 	argKey
@@ -27,7 +27,7 @@
 	argBody
 )
 
-// The faults of a request, as the client is told them.
+// Errors for invalid requests. Their texts are sent to the client.
 var (
 	errArgumentCount     = errors.New("wrong number of words")
 	errInvalidRequestID  = errors.New("no id")
@@ -36,21 +36,23 @@
 	errMissingAttributes = errors.New("c or d is missing")
 )
 
-// Request is a request as a client sent it.
+// Request is a parsed request of a client.
 type Request struct {
 	OpType    *decision.OpType
-	Key       uint64 // 0 for none
+	Key       uint64 // hash of the key, 0 if the request has none
 	ID        string
-	Remaining time.Duration // until the client gives up
-	// Encode returns the request for an endpoint, which learns from it how long the gateway waits for the response.
+	Remaining time.Duration // time until the client gives up
+	// Encode returns the request as sent to an endpoint. It tells the endpoint how long the gateway waits for the
+	// response, in whole milliseconds and at least 1.
 	Encode func(wait time.Duration) []byte
 }
 
-// requestName is how clients name an op type.
+// requestName returns the name of an op type in requests, such as "API.READ look".
 func requestName(command, opType string) string { return command + " " + opType }
 
-// ParseRequest parses a client's request, whose parts stay in use. Op types are found by GatewaySettings.RequestNames.
-// What no endpoint could use is an error, whose text is meant for the client.
+// ParseRequest parses a client's request. The result keeps using args, which must not be empty. The keys of opTypes are
+// the names in GatewaySettings.RequestNames. ParseRequest returns an error, whose text is meant for the client, for a
+// request that no endpoint could execute.
 func ParseRequest(args [][]byte, opTypes map[string]*decision.OpType) (Request, error) {
 	command, count := string(args[argCommand]), argBody
 	if command == commandWrite {
@@ -76,7 +78,7 @@
 	}, nil
 }
 
-// hashKey is never 0 for a key that a client gave.
+// hashKey returns a hash of a key. It is 0 for an empty key and never 0 for any other.
 func hashKey(key []byte) uint64 {
 	if len(key) == 0 {
 		return 0
@@ -86,16 +88,17 @@
 	return max(hash.Sum64(), 1)
 }
 
-// attributes are a request's names and values, such as "c=look,d=1500".
+// attributes are the parsed attributes of a request, such as "c=look,d=1500": c is the op type, and d the client's
+// remaining time in milliseconds.
 type attributes struct {
 	opType                      *decision.OpType
 	remaining                   time.Duration
-	beforeTimeout, afterTimeout string // the text around the value of d
+	beforeTimeout, afterTimeout string // attribute text before and after the value of d
 }
 
 func parseAttributes(text, command string, opTypes map[string]*decision.OpType) (attributes, error) {
 	var parsed attributes
-	start, rest, more := 0, text, true // start is where the present attribute begins in the text
+	start, rest, more := 0, text, true // start is the offset of the current attribute in text
 	for more {
 		var attribute string
 		attribute, rest, more = strings.Cut(rest, ",")
@@ -123,7 +126,8 @@
 	return parsed, nil
 }
 
-// parseClientTimeout reads milliseconds in plain digits.
+// parseClientTimeout parses a positive number of milliseconds. Only digits and a decimal point are accepted: no sign,
+// exponent, hexadecimal number, infinity or NaN.
 func parseClientTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) || strings.Trim(text, "0123456789.") != "" {
@@ -132,7 +136,8 @@
 	return durationFromMs(ms), true
 }
 
-// encodeRequest returns a request as it came, but for its time.
+// encodeRequest encodes a request unchanged, except that the value of d is replaced by wait in whole milliseconds, at
+// least 1.
 func encodeRequest(args [][]byte, parsed attributes, wait time.Duration) []byte {
 	attributeList := parsed.beforeTimeout + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + parsed.afterTimeout
 	size := 64 + len(args[argKey]) + len(args[argID]) + len(attributeList) + len(args[len(args)-1])
--- a/internal/protocol/requestscanner.go
+++ b/internal/protocol/requestscanner.go
@@ -6,35 +6,37 @@
 	"strconv"
 )
 
-// Bounds of requests, in bytes but for the first.
+// Bounds of requests, in bytes except for maxRequestArguments.
 const (
-	maxRequestArguments    = 8       // of one request
-	maxRequestIDSize       = 256     // of a request's id
-	maxSkippedArgumentSize = 1 << 20 // of a part that is skipped: the connection is not read on behind a larger one
-	maxInlineRequestSize   = 512     // of a request that is typed as a line
-	maxRequestOverhead     = 8 << 10 // of a request beside its value
+	maxRequestArguments    = 8       // arguments of one request, including the command
+	maxRequestIDSize       = 256     // ID of a request
+	maxSkippedArgumentSize = 1 << 20 // argument that is skipped; the connection is not read any further after a larger one
+	maxInlineRequestSize   = 512     // inline request, including its line end
+	maxRequestOverhead     = 8 << 10 // all of a request except its value
 )
 
-// MaxRequestSize is the size of the longest request, and of the buffer that holds it.
+// MaxRequestSize is the maximum size of a request in bytes, and of the buffer that it is read into.
 const MaxRequestSize = MaxValueSize + maxRequestOverhead
 
-var errFramingLost = errors.New("framing is lost")
+// errFramingLost is the error for input in which the end of the current request cannot be found.
+var errFramingLost = errors.New("request framing lost")
 
-// RequestScanner finds complete RESP requests in what a client sends. It guards the parser behind it, which trusts
-// lengths and keeps a part of any size in memory.
+// RequestScanner finds complete RESP requests in the input from a client. It protects the parser that receives them,
+// which does not check lengths and would hold an argument of any size in memory.
 type RequestScanner struct {
-	scanned       int  // bytes of the present request in the buffer that are understood
-	remainingArgs int  // of the present request still to come
-	started       bool // its array header was read
-	tooLarge      bool // it is skipped
-	bytesToSkip   int  // bytes still to be skipped
+	scanned       int  // bytes of the current request that have been scanned and are still in the buffer
+	remainingArgs int  // arguments of the current request that have not been scanned
+	started       bool // the array header of the current request has been scanned
+	tooLarge      bool // the current request is too large and is being skipped
+	bytesToSkip   int  // bytes of the current argument that are still to be skipped
 }
 
-// Started reports whether a request has started, of which the buffer may hold nothing any more.
+// Started reports whether the current request has started. The buffer may be empty then, as skipped bytes are removed.
 func (s *RequestScanner) Started() bool { return s.started }
 
-// Next returns the size of the complete request that the buffer begins with, 0 while there is none. A request that is
-// too large has been removed from the buffer. After an error nothing that follows can be understood.
+// Next returns the size of the complete request at the start of the buffer, or 0 if the request is not complete yet.
+// For a request that is too large it returns size 0 and tooLarge once all of the request has been removed from the
+// buffer. After an error the rest of the input cannot be parsed.
 func (s *RequestScanner) Next(b *Buffer) (size int, tooLarge bool, err error) {
 	for {
 		if s.skip(b); s.bytesToSkip > 0 {
@@ -70,14 +72,14 @@
 	}
 }
 
-// skip removes bytes of a request that is too large.
+// skip removes the bytes to be skipped from the buffer, as far as they have arrived.
 func (s *RequestScanner) skip(b *Buffer) {
 	n := min(s.bytesToSkip, len(b.Bytes()))
 	b.Discard(n)
 	s.bytesToSkip -= n
 }
 
-// startRequest takes in the header of the array that is a request.
+// startRequest starts a request at its array header.
 func (s *RequestScanner) startRequest(header requestHeader) error {
 	if header.length < 1 || header.length > maxRequestArguments {
 		return errFramingLost
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// scanArgument takes in a part whose header has been read, once it is complete.
+// scanArgument scans the argument with this header. It reports false while the argument is not complete, except that an
+// argument of a request that is too large does not have to be complete, as its bytes are skipped.
 func (s *RequestScanner) scanArgument(b *Buffer, header requestHeader) (complete bool, err error) {
 	if header.prefix != '$' || header.length > maxSkippedArgumentSize {
 		return false, errFramingLost
@@ -109,11 +112,11 @@
 	return true, nil
 }
 
-// requestHeader is the line before an array or a part: "*4" or "$12".
+// requestHeader is the header line of an array or a bulk string, such as "*4" or "$12".
 type requestHeader struct {
 	prefix byte
-	length int // of parts, or of bytes
-	size   int // of the line with its end; 0 while it is not complete
+	length int // number of arguments of an array, or of bytes of a bulk string
+	size   int // size of the line with its end, 0 if the line is not complete
 }
 
 func scanRequestHeader(data []byte) (requestHeader, error) {
@@ -133,7 +136,7 @@
 	return requestHeader{prefix: data[0], length: length, size: end + 1}, nil
 }
 
-// parseLength parses a length, which has digits alone: no sign, as the number parser of the language would take.
+// parseLength parses a length. Only digits are accepted, as strconv.Atoi would also accept a sign.
 func parseLength(text []byte) (length int, ok bool) {
 	for _, digit := range text {
 		if digit < '0' || digit > '9' {
@@ -144,7 +147,8 @@
 	return length, err == nil
 }
 
-// scanInline returns the size of a request that is typed as a plain line, 0 while it is not complete.
+// scanInline returns the size of an inline request, which is a plain line, or 0 if the line is not complete yet. Lines
+// with quotes or backslashes are not accepted.
 func scanInline(data []byte) (size int, err error) {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 && len(data) < maxInlineRequestSize {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -9,12 +9,12 @@
 	"laurelring/decision"
 )
 
-// MaxValueSize is the size of the largest value.
+// MaxValueSize is the maximum size of a value in a request or response, in bytes.
 const MaxValueSize = 64 << 10
 
 const (
 	maxErrorLineSize  = 4 << 10
-	maxHeaderSize     = 32 // of the line before an array or a bulk string
+	maxHeaderSize     = 32 // header line of an array or a bulk string, including its line end
 	maxLoadReportSize = 4 << 10
 
 	lineEnd             = "\r\n"
@@ -22,12 +22,13 @@
 	nullBulkString      = "$-1"
 )
 
-// MaxResponseSize is the size of the longest response, and of the buffer that holds it.
+// MaxResponseSize is the maximum size of a response in bytes, and of the buffer that it is read into.
 const MaxResponseSize = MaxValueSize + maxLoadReportSize + 4*maxHeaderSize
 
 var errMalformedResponse = errors.New("malformed response")
 
-// responsePart is what may come next of a response: an array of the value, a null, and the load report or a null.
+// responsePart is a part of a response. A response is an array of a value, a null, and a load report. The value and the
+// load report may also be null.
 type responsePart uint8
 
 const (
@@ -37,28 +38,30 @@
 	responseLoadReport
 )
 
-// ResponseReader reads an endpoint's responses one after the other: arrays, or error lines. Anything else is malformed.
+// ResponseReader reads an endpoint's responses one after the other. Each is an array or an error line, and any other
+// input is malformed.
 type ResponseReader struct {
-	scanned    int // bytes of the present response that are understood
+	scanned    int // bytes of the current response that have been scanned
 	nextPart   responsePart
 	value      span
 	loadReport span
 }
 
-// span is where a bulk string stands in the buffer; it is empty for a null.
+// span is the range of a bulk string's content in the buffer. It is the zero value for a null.
 type span struct{ start, end int }
 
+// isNull reports whether the bulk string is null. The content of any other starts after a header, never at 0.
 func (s span) isNull() bool { return s.start == 0 }
 
-// Response is how an attempt ended, with what the endpoint sent.
+// Response is the response of an endpoint to an attempt.
 type Response struct {
 	Outcome    decision.Outcome
-	Value      []byte // nil where none came
-	LoadReport []byte // empty where none came
+	Value      []byte // nil if the response has no value
+	LoadReport []byte // empty if the response has no load report
 }
 
-// Next reads on in the buffer. A complete response is copied and removed from the buffer. After an error nothing that
-// follows can be understood.
+// Next continues to scan the response at the start of the buffer. If the response is complete, Next copies it and
+// removes it from the buffer. After an error the rest of the input cannot be parsed.
 func (r *ResponseReader) Next(b *Buffer) (response Response, complete bool, err error) {
 	for {
 		data := b.Bytes()
@@ -87,7 +90,8 @@
 	}
 }
 
-// scanPart takes in the present part, once it is complete. Its header is a line of a size in the buffer.
+// scanPart scans the next part and reports whether it is complete. line is the part's header line without its end, and
+// size the size of the line with its end.
 func (r *ResponseReader) scanPart(data, line []byte, size int) (complete bool, err error) {
 	if r.nextPart == responseNull && string(line) != nullBulkString {
 		return false, errMalformedResponse
@@ -118,7 +122,8 @@
 	return true, nil
 }
 
-// finish returns the complete response and removes it from the buffer. An endpoint that gives no value has failed.
+// finish returns the complete response and removes it from the buffer. The outcome is OutcomeError if the endpoint sent
+// no value.
 func (r *ResponseReader) finish(b *Buffer) Response {
 	data := b.Bytes()
 	response := Response{
@@ -133,19 +138,20 @@
 	return response
 }
 
-// finishError returns the response that is an error line and removes it from the buffer.
+// finishError returns the response for an error line and removes the line from the buffer.
 func (r *ResponseReader) finishError(b *Buffer, line []byte, size int) (Response, bool, error) {
 	outcome, loadReport, err := parseErrorLine(string(line[1:]))
 	r.reset(b, size)
 	return Response{Outcome: outcome, LoadReport: loadReport}, err == nil, err
 }
 
+// reset removes the current response, of the given size, from the buffer and prepares for the next one.
 func (r *ResponseReader) reset(b *Buffer, size int) {
 	b.Discard(size)
 	*r = ResponseReader{}
 }
 
-// parseBulkStringHeader reads a header such as "$5". The length is -1 for a null.
+// parseBulkStringHeader parses a header such as "$5". The length is -1 for a null.
 func parseBulkStringHeader(line []byte) (length int, ok bool) {
 	if line[0] != '$' {
 		return 0, false
@@ -156,11 +162,11 @@
 	return parseLength(line[1:])
 }
 
-// nullBulkStringLength stands for the length of a null.
+// nullBulkStringLength is the length in the header of a null.
 const nullBulkStringLength = "-1"
 
-// scanResponseLine returns the line that the data begins with, without its end, and its size with it. The size is 0
-// while the line is not complete.
+// scanResponseLine returns the line at the start of data without its end, and the size of the line with its end. The
+// size is 0 if the line is not complete.
 func scanResponseLine(data []byte) (line []byte, size int, err error) {
 	if len(data) == 0 {
 		return nil, 0, nil
@@ -186,8 +192,8 @@
 	return data[:end-1], end + 1, nil
 }
 
-// parseErrorLine reads an error without its "-". Only BUSY proves that the request never executed. A load report may
-// stand last. No endpoint sends an error that begins otherwise.
+// parseErrorLine parses an error line without its "-". Of the error codes, only BUSY proves that the request was not
+// executed. The last word may be a load report. A line with any other code is malformed, as no endpoint sends one.
 func parseErrorLine(line string) (outcome decision.Outcome, loadReport []byte, err error) {
 	code, _, _ := strings.Cut(line, " ")
 	switch code {
@@ -205,10 +211,12 @@
 	return outcome, loadReport, nil
 }
 
-// maxUtilization is above any figure that an endpoint could mean.
+// maxUtilization is the exclusive upper bound of a valid utilization. It is above any value that an endpoint could
+// mean.
 const maxUtilization = 1e6
 
-// ParseUtilization returns the value of a field in a load report, if there is a usable one.
+// ParseUtilization returns the value of the named field in a load report. It returns false if the report has no such
+// field or its value is invalid.
 func ParseUtilization(report []byte, field string) (utilization float64, ok bool) {
 	if len(report) == 0 || field == "" {
 		return 0, false
