--- a/internal/protocol/controller.go
+++ b/internal/protocol/controller.go
@@ -10,7 +10,7 @@
 	"laurelring/decision"
 )
 
-// MaxLineSize is the size of the longest line that the rollout controller and the gateway send each other.
+// MaxLineSize is the maximum size of a line between the rollout controller and the gateway, in bytes.
 const MaxLineSize = 8 << 10
 
 var (
@@ -21,14 +21,15 @@
 	errUnknownCallError = errors.New("the answer holds an unknown error")
 )
 
-// The names of verdicts and phases on the wire, by their numbers.
+// Names of verdicts and phases on the wire, indexed by decision.Verdict and decision.RolloutPhase.
 var (
 	verdictNames = []string{"abstain", "promote", "pause", "abort"}
 	phaseNames   = []string{"testing", "recalling", "live", "recalled"}
 )
 
-// NextLine removes the next complete line from the buffer and returns it without its end, or nil while there is none.
-// The line is valid until the next call of Space.
+// NextLine removes the next complete line from the buffer and returns it without its line end. It returns nil if the
+// buffer has no complete line, and an error if it holds MaxLineSize bytes without a line end. The line is valid until
+// the next call of Buffer.Space.
 func NextLine(b *Buffer) ([]byte, error) {
 	data := b.Bytes()
 	end := bytes.IndexByte(data, '\n')
@@ -42,7 +43,7 @@
 	return nil, nil
 }
 
-// controllerCall is a call to the rollout controller.
+// controllerCall is a JSON-RPC call to the rollout controller.
 type controllerCall struct {
 	ID      int         `json:"id"`
 	Version string      `json:"jsonrpc"`
@@ -56,12 +57,12 @@
 	Stage   int    `json:"tranche"`
 }
 
-// EncodeListen returns the call that asks for the rollout status and its changes.
+// EncodeListen encodes the call that subscribes to the rollout status and its changes.
 func EncodeListen(id int) []byte {
 	return controllerCall{ID: id, Method: "listen"}.encode()
 }
 
-// EncodeVote returns the call that casts a vote.
+// EncodeVote encodes the call that casts a vote.
 func EncodeVote(id int, vote decision.Vote) []byte {
 	params := &voteParams{Build: vote.Build, Verdict: verdictNames[vote.Verdict], Stage: vote.Stage}
 	return controllerCall{ID: id, Method: "verdict", Params: params}.encode()
@@ -69,18 +70,18 @@
 
 func (c controllerCall) encode() []byte {
 	c.Version = "2.0"
-	text, _ := json.Marshal(c) // strings and integers alone cannot fail
+	text, _ := json.Marshal(c) // cannot fail for a struct of strings and integers
 	return append(text, '\n')
 }
 
-// ControllerEvents receive what a line of the rollout controller holds.
+// ControllerEvents holds the callbacks for the content of a line from the rollout controller.
 type ControllerEvents struct {
-	Status   func(decision.RolloutStatus)           // sent unasked, or as the answer to a call
-	Answered func(id int, outcome decision.Outcome) // the call with this id
+	Status   func(decision.RolloutStatus)           // called for a status, which is a notification or the result of a call
+	Answered func(id int, outcome decision.Outcome) // called for the answer to the call with this ID
 }
 
-// ParseControllerLine parses a line of the rollout controller. The answer to a call comes before the status that it
-// holds. A heartbeat gives no event.
+// ParseControllerLine parses a line from the rollout controller and calls the callbacks for its content. For an answer
+// that contains a status, Answered is called before Status. A heartbeat causes no callback.
 func ParseControllerLine(line []byte, events ControllerEvents) error {
 	if !gjson.ValidBytes(line) {
 		return errLineNotJSON
@@ -130,6 +131,7 @@
 	return nil
 }
 
+// parseCallError returns the outcome of a call that the rollout controller answered with this error message.
 func parseCallError(message string) (decision.Outcome, error) {
 	switch message {
 	case "Throttling":
@@ -142,7 +144,7 @@
 	return 0, errUnknownCallError
 }
 
-// ParseRolloutStatus parses a JSON object that says where the newest build stands. The error is a *FieldError.
+// ParseRolloutStatus parses a JSON object with the rollout status of the newest build. The error is a *FieldError.
 func ParseRolloutStatus(text []byte) (decision.RolloutStatus, error) {
 	return parseRolloutStatus(gjson.ParseBytes(text))
 }
@@ -167,5 +169,5 @@
 }
 
 func rolloutFieldError(name string) error {
-	return &FieldError{Kind: "rollout status field", Field: name, Reason: "is missing or unusable"}
+	return &FieldError{Kind: "rollout status field", Field: name, Reason: "is missing or invalid"}
 }
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -12,54 +12,54 @@
 	"laurelring/decision/monotonic"
 )
 
-// MaxEndpointListSize is the size of the longest endpoint list that is read, in bytes.
+// MaxEndpointListSize is the maximum size of an endpoint list that is read, in bytes.
 const MaxEndpointListSize = 8 << 20
 
-// ErrOlderList says that an answer to a watch is older than the endpoint list held.
+// ErrOlderList is the error for an endpoint list from discovery that is older than the one held.
 var ErrOlderList = errors.New("endpoint list is older than the one held")
 
 var (
 	errListNotJSON    = errors.New("endpoint list is not JSON")
-	errListIncomplete = errors.New("endpoint list lacks its revision or members")
+	errListIncomplete = errors.New("endpoint list has no valid revision or members")
 )
 
-// CallError is a call to discovery that brought no endpoint list.
+// CallError is the error of a call to discovery that gave no endpoint list.
 type CallError struct {
-	Revision        int64         // of the list held
-	Duration        time.Duration // from the start of the call to its failure
-	ResponseStarted bool          // so that changes may have been written that were not read
+	Revision        int64         // revision of the list held
+	Duration        time.Duration // time from the start of the call to its failure
+	ResponseStarted bool          // a response had started, so discovery may have written changes that were not read
 	Err             error
 }
 
 func (e *CallError) Error() string {
-	return fmt.Sprintf("call from revision %d failed after %v: %v", e.Revision, e.Duration, e.Err)
+	return fmt.Sprintf("discovery call from revision %d failed after %v: %v", e.Revision, e.Duration, e.Err)
 }
 
 // Unwrap returns why the call failed.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// EndpointEntry is one endpoint as the endpoint list shows it. Of an endpoint that is gone only the ID is sure to be set.
+// EndpointEntry is the entry of one endpoint in an endpoint list. For a removed endpoint only ID is sure to be set.
 type EndpointEntry struct {
 	ID, Address string
-	Ready       bool // it takes new requests
-	Present     bool // it runs or drains; else it is gone
+	Ready       bool // endpoint accepts new requests
+	Present     bool // endpoint is up or draining, not removed
 	Build       int
-	Zone        int // its position in the settings; the number of zones where its name is unknown
-	MachineType int // its position in the settings; the number of machine types where its name is unknown
+	Zone        int // index of the zone in the settings, or the number of zones if its name is unknown
+	MachineType int // index of the machine type in the settings, or the number of machine types if its name is unknown
 	Cell        int
 	Size        float64
-	StartedAt   monotonic.Time // by the wall clock, since 1970; 0 for long ago
+	StartedAt   monotonic.Time // wall-clock time since 1970, 0 if long ago
 }
 
-// EndpointList is an answer of discovery: all endpoints, or those that have changed.
+// EndpointList is a response from discovery.
 type EndpointList struct {
 	Revision int64
-	Complete bool
+	Complete bool // Entries lists all endpoints rather than only the changed ones
 	Entries  []EndpointEntry
 }
 
-// ParseEndpointList parses an answer of discovery. A list with an entry that is at fault is an error as a whole.
-// Zones and machine types are given by name, in their order in the settings.
+// ParseEndpointList parses a response from discovery. It returns an error for the whole list if one entry is invalid.
+// zones and machineTypes are the names in the settings, in their order.
 func ParseEndpointList(text []byte, zones, machineTypes []string) (*EndpointList, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, errListNotJSON
@@ -99,7 +99,8 @@
 	}
 }
 
-// checkEndpointEntry says what an entry lacks. An unknown phase is an error, as it would read as an endpoint that is gone.
+// checkEndpointEntry returns an error if an entry is invalid. An unknown phase is an error, as the endpoint would
+// otherwise be taken for removed.
 func checkEndpointEntry(member gjson.Result) error {
 	id, phase := member.Get("id"), member.Get("phase")
 	if id.Type != gjson.String || id.Str == "" {
@@ -113,14 +114,14 @@
 	case "removed":
 		return nil
 	default:
-		return entryFieldError("phase", "is unknown")
+		return entryFieldError("phase", "has an unknown value")
 	}
 	if _, err := netip.ParseAddrPort(member.Get("host_port").Str); err != nil {
-		return entryFieldError("host_port", "is no address and port")
+		return entryFieldError("host_port", "is not an IP address and port")
 	}
 	for _, name := range []string{"build", "up_since_ms"} {
 		if member.Get(name).Type != gjson.Number {
-			return entryFieldError(name, "is no number")
+			return entryFieldError(name, "is not a number")
 		}
 	}
 	return nil
@@ -130,7 +131,7 @@
 	return &FieldError{Kind: "endpoint list field", Field: name, Reason: reason}
 }
 
-// indexOrCount returns the position of a name, or the number of names where it is not among them.
+// indexOrCount returns the index of a name in names, or the number of names if it is not among them.
 func indexOrCount(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
