--- a/internal/protocol/controller.go
+++ b/internal/protocol/controller.go
@@ -76,7 +76,7 @@
 
 // ControllerEvents holds the callbacks for the content of a line from the rollout controller.
 type ControllerEvents struct {
-	Status   func(decision.RolloutStatus)           // called for a status, which is a notification or the result of a call
+	Status   func(decision.RolloutStatus)           // called for a status that was pushed or answers a call
 	Answered func(id int, outcome decision.Outcome) // called for the answer to the call with this ID
 }
 
--- a/internal/protocol/evidence.go
+++ b/internal/protocol/evidence.go
@@ -8,10 +8,10 @@
 	"laurelring/decision"
 )
 
-// MaxDatagramSize is the size of the longest datagram between gateways, in bytes.
+// MaxDatagramSize is the maximum size of a datagram between gateways, in bytes.
 const MaxDatagramSize = 256
 
-// The first byte of a datagram is the tag of its type; others are ignored.
+// Tags of the types of datagrams. The tag is the first byte of a datagram. A datagram with another tag is ignored.
 const (
 	evidenceReportTag = 1
 	voterReportTag    = 2
@@ -19,9 +19,9 @@
 	gossipViewTag     = 4
 )
 
-// Layout of an evidence report, little-endian: the tag, when it was counted (8 bytes), the build (2), the number of
-// counters (1), the number of observations (1), the counters (varints), the observations. An observation is the
-// endpoint's number (4), its utilization in percent (1), successes (1) and losses (1).
+// Layout of an evidence report, little-endian: the tag (1 byte), the time at which the evidence was counted (8), the
+// build (2), the number of counters (1), the number of observations (1), the counters (varints), the observations. An
+// observation is the endpoint's number (4), its utilization in percent (1), successes (1) and losses (1).
 const (
 	evidenceCountedAtOffset        = 1
 	evidenceBuildOffset            = 9
@@ -34,12 +34,12 @@
 	observationSuccessesOffset   = 5
 	observationLossesOffset      = 6
 
-	noUtilization         = 255 // in place of a percentage
-	maxEncodedUtilization = 2   // larger ones are cut
+	noUtilization         = 255 // encodes that the endpoint reported no utilization
+	maxEncodedUtilization = 2   // a higher utilization is encoded as this one
 )
 
-// Layout of a voter report, little-endian: the tag, when it was found (8 bytes), the build (2), the stage (1), the
-// verdict (1), the cost of the baseline (4, floating point), the numbers of the outliers (4 each).
+// Layout of a voter report, little-endian: the tag (1 byte), the time of the voter's conclusion (8), the build (2), the
+// stage (1), the verdict (1), the baseline cost of a request (4, floating point), the numbers of the outliers (4 each).
 const (
 	voterFoundAtOffset      = 1
 	voterBuildOffset        = 9
@@ -51,8 +51,8 @@
 	endpointNumberSize = 4
 )
 
-// EncodeEvidenceReport returns a gateway's evidence as a datagram. Observations that do not fit are left out: those with
-// losses come first.
+// EncodeEvidenceReport encodes a gateway's evidence as a datagram. The last observations are left out if they do not
+// fit, so the balancer lists those with losses first. Counts of successes and losses above 255 are encoded as 255.
 func EncodeEvidenceReport(report *decision.EvidenceReport, numberOf func(*decision.Endpoint) uint32) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{evidenceReportTag}, uint64(report.CountedAt))
 	b = binary.LittleEndian.AppendUint16(b, uint16(report.Build))
@@ -72,8 +72,8 @@
 	return b
 }
 
-// DecodeEvidenceReport reads a datagram of a sender; nil if it holds no evidence report. Observations of endpoints that
-// are unknown here are left out.
+// DecodeEvidenceReport decodes a datagram from a sender. It returns nil if the datagram is not a valid evidence report.
+// Observations of endpoints that this gateway does not know are left out.
 func DecodeEvidenceReport(data []byte, sender int, endpointByNumber func(number uint32) *decision.Endpoint) *decision.EvidenceReport {
 	if len(data) < evidenceHeaderSize || data[0] != evidenceReportTag {
 		return nil
@@ -101,6 +101,8 @@
 	return report
 }
 
+// decodeCounters decodes the given number of counters and returns the rest of the data. ok is false if the data is too
+// short or a counter exceeds 32 bits.
 func decodeCounters(data []byte, count int) (counters []uint32, rest []byte, ok bool) {
 	counters = make([]uint32, count)
 	for i := range counters {
@@ -113,7 +115,7 @@
 	return counters, data, true
 }
 
-// encodeUtilization keeps whole percent. A utilization below 0 stands for none.
+// encodeUtilization rounds a utilization to whole percent. A utilization below 0 means that none was reported.
 func encodeUtilization(utilization float64) uint8 {
 	if utilization >= 0 {
 		return uint8(math.Round(min(utilization, maxEncodedUtilization) * 100))
@@ -128,7 +130,7 @@
 	return float64(code) / 100
 }
 
-// EncodeVoterReport returns a voter's report as a datagram.
+// EncodeVoterReport encodes a voter's report as a datagram.
 func EncodeVoterReport(report *decision.VoterReport, numberOf func(*decision.Endpoint) uint32) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{voterReportTag}, uint64(report.FoundAt))
 	b = binary.LittleEndian.AppendUint16(b, uint16(report.Build))
@@ -140,15 +142,15 @@
 	return b
 }
 
-// DecodeVoterReport reads a datagram of a sender; nil if it holds no voter report, or one with a cost that cannot be.
-// Outliers that are unknown here are left out.
+// DecodeVoterReport decodes a datagram from a sender. It returns nil if the datagram is not a valid voter report or its
+// cost is negative or not finite. Outliers that this gateway does not know are left out.
 func DecodeVoterReport(data []byte, sender int, endpointByNumber func(number uint32) *decision.Endpoint) *decision.VoterReport {
 	if len(data) < voterHeaderSize || (len(data)-voterHeaderSize)%endpointNumberSize != 0 || data[0] != voterReportTag {
 		return nil
 	}
 	verdict := decision.Verdict(data[voterVerdictOffset])
 	cost := float64(math.Float32frombits(binary.LittleEndian.Uint32(data[voterBaselineCostOffset:])))
-	// A cost that is no finite number would make every later figure that is smoothed from it none either.
+	// If a cost that is not finite were accepted, every later cost smoothed from it would not be finite either.
 	if verdict > decision.VerdictRollBack || math.IsNaN(cost) || math.IsInf(cost, 0) || cost < 0 {
 		return nil
 	}
