--- a/internal/protocol/bench_test.go
+++ b/internal/protocol/bench_test.go
@@ -10,7 +10,7 @@
 
 const benchRequest = "*4\r\n$8\r\nAPI.READ\r\n$7\r\ncourt-7\r\n$6\r\nreq-12\r\n$13\r\nc=look,d=1500\r\n"
 
-// BenchmarkRequest scans and parses one request of a client.
+// BenchmarkRequest measures scanning and parsing one request of a client.
 func BenchmarkRequest(b *testing.B) {
 	opTypes := map[string]*decision.OpType{"API.READ look": {}}
 	buffer, scanner := NewBuffer(MaxRequestSize), RequestScanner{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkResponse reads one response of an endpoint.
+// BenchmarkResponse measures reading one response of an endpoint.
 func BenchmarkResponse(b *testing.B) {
 	const text = "*3\r\n$5\r\nvalue\r\n$-1\r\n$15\r\nutilization=0.4\r\n"
 	buffer, reader := NewBuffer(MaxResponseSize), ResponseReader{}
