--- a/cmd/gateway/build.go
+++ b/cmd/gateway/build.go
@@ -113,7 +113,7 @@
 	}
 	peers, err := transport.NewPeerSocket(transport.PeerSocketConfig{
 		Listen:    addresses.Listen,
-		Peers:     addresses.Each,
+		Peers:     addresses.ByRank,
 		Broadcast: addresses.Broadcast,
 		Clock:     g.clock,
 	})
--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -38,7 +38,7 @@
 // PeerAddresses holds the addresses for datagrams between gateways. All are empty if gateways exchange no datagrams.
 type PeerAddresses struct {
 	Listen    string
-	Each      []string // addresses of the gateways, by rank
+	ByRank    []string // addresses of the gateways, by rank
 	Broadcast string   // address that reaches all gateways; may be empty
 }
 
@@ -117,7 +117,7 @@
 		return peers
 	}
 	for i := range r.list("peers") {
-		peers.Each = append(peers.Each, r.address(fmt.Sprintf("peers.%d", i)))
+		peers.ByRank = append(peers.ByRank, r.address(fmt.Sprintf("peers.%d", i)))
 	}
 	if r.root.Get("peers_all").Exists() {
 		peers.Broadcast = r.address("peers_all")
--- a/internal/protocol/controller.go
+++ b/internal/protocol/controller.go
@@ -74,15 +74,15 @@
 	return append(text, '\n')
 }
 
-// ControllerEvents holds the callbacks for the content of a line from the rollout controller.
-type ControllerEvents struct {
-	Status   func(decision.RolloutStatus)           // called for a status that was pushed or answers a call
-	Answered func(id int, outcome decision.Outcome) // called for the answer to the call with this ID
+// ControllerCallbacks holds the callbacks for the content of a line from the rollout controller.
+type ControllerCallbacks struct {
+	Status func(decision.RolloutStatus)           // called for a status that was pushed or answers a call
+	Answer func(id int, outcome decision.Outcome) // called for the answer to the call with this ID
 }
 
 // ParseControllerLine parses a line from the rollout controller and calls the callbacks for its content. For an answer
-// that contains a status, Answered is called before Status. A heartbeat causes no callback.
-func ParseControllerLine(line []byte, events ControllerEvents) error {
+// that contains a status, Answer is called before Status. A heartbeat causes no callback.
+func ParseControllerLine(line []byte, callbacks ControllerCallbacks) error {
 	if !gjson.ValidBytes(line) {
 		return errLineNotJSON
 	}
@@ -93,17 +93,17 @@
 		if err != nil {
 			return err
 		}
-		events.Status(status)
+		callbacks.Status(status)
 		return nil
 	case method.Str == "ping":
 		return nil
 	case method.Exists():
 		return errUnknownMethod
 	}
-	return parseAnswer(root, events)
+	return parseAnswer(root, callbacks)
 }
 
-func parseAnswer(root gjson.Result, events ControllerEvents) error {
+func parseAnswer(root gjson.Result, callbacks ControllerCallbacks) error {
 	idField := root.Get("id")
 	if idField.Type != gjson.Number {
 		return errAnswerWithoutID
@@ -114,20 +114,20 @@
 		if err != nil {
 			return err
 		}
-		events.Answered(id, outcome)
+		callbacks.Answer(id, outcome)
 		return nil
 	}
 	result := root.Get("result")
 	if result.Type == gjson.True {
-		events.Answered(id, decision.OutcomeSuccess)
+		callbacks.Answer(id, decision.OutcomeSuccess)
 		return nil
 	}
 	status, err := parseRolloutStatus(result)
 	if err != nil {
 		return err
 	}
-	events.Answered(id, decision.OutcomeSuccess)
-	events.Status(status)
+	callbacks.Answer(id, decision.OutcomeSuccess)
+	callbacks.Status(status)
 	return nil
 }
 
--- a/internal/transport/controller_connection.go
+++ b/internal/transport/controller_connection.go
@@ -112,9 +112,9 @@
 // an unknown kind.
 func (c *controllerConnection) handleLine(line []byte) error {
 	c.lastLineAt = time.Now()
-	return protocol.ParseControllerLine(line, protocol.ControllerEvents{
-		Status:   c.client.config.OnStatus,
-		Answered: c.handleAnswer,
+	return protocol.ParseControllerLine(line, protocol.ControllerCallbacks{
+		Status: c.client.config.OnStatus,
+		Answer: c.handleAnswer,
 	})
 }
 
