--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -64,7 +64,8 @@
 	return configuration, nil
 }
 
-// ParseAddresses parses only the addresses of a configuration, which a running gateway applies when it reloads it.
+// ParseAddresses parses only the addresses of a configuration, which are all that a running gateway applies from a
+// changed configuration.
 func ParseAddresses(text []byte) (Addresses, error) {
 	r, err := newConfigurationReader(text)
 	if err != nil {
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -23,7 +23,7 @@
 	errListIncomplete = errors.New("endpoint list has no valid revision or members")
 )
 
-// CallError is the error of a call to discovery that gave no endpoint list.
+// CallError is the error of a call to discovery that returned no endpoint list.
 type CallError struct {
 	Revision        int64         // revision of the list held
 	Duration        time.Duration // time from the start of the call to its failure
--- a/internal/protocol/requestscanner.go
+++ b/internal/protocol/requestscanner.go
@@ -10,7 +10,7 @@
 const (
 	maxRequestArguments    = 8       // arguments of one request, including the command
 	maxRequestIDSize       = 256     // ID of a request
-	maxSkippedArgumentSize = 1 << 20 // argument that is skipped; the connection is not read any further after a larger one
+	maxSkippedArgumentSize = 1 << 20 // argument that is skipped; the input after a larger one is not parsed
 	maxInlineRequestSize   = 512     // inline request, including its line end
 	maxRequestOverhead     = 8 << 10 // all of a request except its value
 )
--- a/internal/protocol/requestscanner_test.go
+++ b/internal/protocol/requestscanner_test.go
@@ -6,8 +6,8 @@
 )
 
 // Lengths with a sign are rejected. "*+1" and "$+4" used to be accepted as 1 and 4 in requests, although responses of
-// endpoints with them are rejected. How other parsers treat such requests is not known, including the parser that
-// receives them from the scanner.
+// endpoints with them are rejected. It is not known how other parsers treat such requests, including the parser that
+// the scanner protects.
 func TestRejectsLengthsWithSign(t *testing.T) {
 	for _, text := range []string{"*+1\r\n$4\r\nPING\r\n", "*1\r\n$+4\r\nPING\r\n", "*1\r\n$-0\r\n\r\n"} {
 		b := NewBuffer(MaxRequestSize)
--- a/internal/protocol/statemachine_test.go
+++ b/internal/protocol/statemachine_test.go
@@ -12,7 +12,7 @@
 	"laurelring/decision"
 )
 
-// feed commits the input to a buffer in pieces and calls readOn after each, until it returns false or the buffer is
+// feed commits the input to a buffer in pieces and calls read after each, until read returns false or the buffer is
 // full.
 func feed(input []byte, maxSize int, pieceSize func() int, read func(*Buffer) bool) {
 	b := NewBuffer(maxSize)
@@ -135,8 +135,8 @@
 		lines: "11 success\n42 1 canary 0.28 310000000\n"},
 }
 
-// Each state machine gives the same output however its input is split into pieces, and fails only by returning an error,
-// never by a panic.
+// Each state machine gives the same output however its input is split into pieces, and fails only by returning an
+// error, never by a panic.
 func FuzzCuts(f *testing.F) {
 	for i, test := range inputs {
 		f.Add([]byte(test.input), uint64(i))
