--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -12,71 +12,73 @@
 	"laurelring/decision"
 )
 
-// The commands that carry requests.
+// The RESP commands of requests.
 const (
 	commandRead  = "API.READ"
 	commandWrite = "API.WRITE"
 )
 
-// The positions of a request's parts. Only a write has a body.
+// The positions of a request's arguments, starting with the command itself. Only a write has a body.
 const (
-	partCommand = iota
-	partKey
-	partID
-	partAttributes
-	partBody
+	argCommand = iota
+	argKey
+	argID
+	argAttributes
+	argBody
 )
 
-// The faults of a request, as the client is told them.
+// Errors for invalid requests. Their texts are sent to the client.
 var (
-	errPartCount         = errors.New("wrong number of words")
-	errRequestID         = errors.New("no id")
+	errArgumentCount     = errors.New("wrong number of words")
+	errInvalidRequestID  = errors.New("no id")
 	errUnknownOpType     = errors.New("unknown op type")
-	errClientTimeout     = errors.New("d is no time")
+	errInvalidTimeout    = errors.New("d is no time")
 	errMissingAttributes = errors.New("c or d is missing")
 )
 
-// Request is a request as a client sent it.
+// Request is a parsed request of a client.
 type Request struct {
 	OpType    *decision.OpType
-	Key       uint64 // 0 for none
+	Key       uint64 // hash of the key, 0 if the request has none
 	ID        string
-	Remaining time.Duration // until the client gives up
-	// Encode returns the request for an endpoint, which learns from it how long the gateway waits for the response.
+	Remaining time.Duration // time until the client gives up
+	// Encode returns the request as sent to an endpoint. It tells the endpoint how long the gateway waits for the
+	// response, in whole milliseconds and at least 1.
 	Encode func(wait time.Duration) []byte
 }
 
-// requestName is how clients name an op type.
+// requestName returns the name of an op type in requests, such as "API.READ look".
 func requestName(command, opType string) string { return command + " " + opType }
 
-// ParseRequest parses a client's request, whose parts stay in use. Op types are found by GatewaySettings.RequestNames.
-// What no endpoint could use is an error, whose text is meant for the client.
-func ParseRequest(parts [][]byte, opTypes map[string]*decision.OpType) (Request, error) {
-	command, count := string(parts[partCommand]), partBody
+// ParseRequest parses a client's request. The result keeps using args, which must not be empty. The keys of opTypes are
+// the names in GatewaySettings.RequestNames. ParseRequest returns an error, whose text is meant for the client, for a
+// request that no endpoint could execute.
+func ParseRequest(args [][]byte, opTypes map[string]*decision.OpType) (Request, error) {
+	command, count := string(args[argCommand]), argBody
 	if command == commandWrite {
-		count = partBody + 1
+		count = argBody + 1
 	}
-	if len(parts) != count {
-		return Request{}, errPartCount
+	if len(args) != count {
+		return Request{}, errArgumentCount
 	}
-	id := string(parts[partID])
+	id := string(args[argID])
 	if id == "" || len(id) > maxRequestIDSize {
-		return Request{}, errRequestID
+		return Request{}, errInvalidRequestID
 	}
-	attributes, err := parseAttributes(string(parts[partAttributes]), command, opTypes)
+	attributes, err := parseAttributes(string(args[argAttributes]), command, opTypes)
 	if err != nil {
 		return Request{}, err
 	}
 	return Request{
 		OpType:    attributes.opType,
-		Key:       hashKey(parts[partKey]),
+		Key:       hashKey(args[argKey]),
 		ID:        id,
 		Remaining: attributes.remaining,
-		Encode:    func(wait time.Duration) []byte { return encodeRequest(parts, attributes, wait) },
+		Encode:    func(wait time.Duration) []byte { return encodeRequest(args, attributes, wait) },
 	}, nil
 }
 
-// hashKey is never 0 for a key that a client gave.
+// hashKey returns a hash of a key. It is 0 for an empty key and never 0 for any other.
 func hashKey(key []byte) uint64 {
 	if len(key) == 0 {
 		return 0
@@ -86,16 +88,17 @@
 	return max(hash.Sum64(), 1)
 }
 
-// attributes are a request's names and values, such as "c=look,d=1500".
+// attributes are the parsed attributes of a request, such as "c=look,d=1500": c is the op type, and d the client's
+// remaining time in milliseconds.
 type attributes struct {
-	opType                *decision.OpType
-	remaining             time.Duration
-	beforeTime, afterTime string // the text around the value of d
+	opType                      *decision.OpType
+	remaining                   time.Duration
+	beforeTimeout, afterTimeout string // attribute text before and after the value of d
 }
 
 func parseAttributes(text, command string, opTypes map[string]*decision.OpType) (attributes, error) {
 	var parsed attributes
-	start, rest, more := 0, text, true // start is where the present attribute begins in the text
+	start, rest, more := 0, text, true // start is the offset of the current attribute in text
 	for more {
 		var attribute string
 		attribute, rest, more = strings.Cut(rest, ",")
@@ -109,21 +112,22 @@
 			parsed.opType = opType
 		case "d":
 			remaining, ok := parseClientTimeout(value)
-			if !ok || parsed.beforeTime != "" {
-				return attributes{}, errClientTimeout
+			if !ok || parsed.beforeTimeout != "" {
+				return attributes{}, errInvalidTimeout
 			}
 			parsed.remaining = remaining
-			parsed.beforeTime, parsed.afterTime = text[:start+len("d=")], text[start+len(attribute):]
+			parsed.beforeTimeout, parsed.afterTimeout = text[:start+len("d=")], text[start+len(attribute):]
 		}
 		start += len(attribute) + len(",")
 	}
-	if parsed.opType == nil || parsed.beforeTime == "" {
+	if parsed.opType == nil || parsed.beforeTimeout == "" {
 		return attributes{}, errMissingAttributes
 	}
 	return parsed, nil
 }
 
-// parseClientTimeout reads milliseconds in plain digits.
+// parseClientTimeout parses a positive number of milliseconds. Only digits and a decimal point are accepted: no sign,
+// exponent, hexadecimal number, infinity or NaN.
 func parseClientTimeout(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) || strings.Trim(text, "0123456789.") != "" {
@@ -132,18 +136,19 @@
 	return durationFromMs(ms), true
 }
 
-// encodeRequest returns a request as it came, but for its time.
-func encodeRequest(parts [][]byte, parsed attributes, wait time.Duration) []byte {
-	list := parsed.beforeTime + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + parsed.afterTime
-	size := 64 + len(parts[partKey]) + len(parts[partID]) + len(list) + len(parts[len(parts)-1])
+// encodeRequest encodes a request unchanged, except that the value of d is replaced by wait in whole milliseconds, at
+// least 1.
+func encodeRequest(args [][]byte, parsed attributes, wait time.Duration) []byte {
+	attributeList := parsed.beforeTimeout + strconv.FormatInt(max(1, wait.Milliseconds()), 10) + parsed.afterTimeout
+	size := 64 + len(args[argKey]) + len(args[argID]) + len(attributeList) + len(args[len(args)-1])
 	b := make([]byte, 0, size)
-	b = redcon.AppendArray(b, len(parts))
-	b = redcon.AppendBulk(b, parts[partCommand])
-	b = redcon.AppendBulk(b, parts[partKey])
-	b = redcon.AppendBulk(b, parts[partID])
-	b = redcon.AppendBulkString(b, list)
-	if len(parts) > partBody {
-		b = redcon.AppendBulk(b, parts[partBody])
+	b = redcon.AppendArray(b, len(args))
+	b = redcon.AppendBulk(b, args[argCommand])
+	b = redcon.AppendBulk(b, args[argKey])
+	b = redcon.AppendBulk(b, args[argID])
+	b = redcon.AppendBulkString(b, attributeList)
+	if len(args) > argBody {
+		b = redcon.AppendBulk(b, args[argBody])
 	}
 	return b
 }
