--- a/internal/gatewaytest/client.go
+++ b/internal/gatewaytest/client.go
@@ -42,9 +42,9 @@
 // BulkString is a value as a client gets it.
 func BulkString(text string) string { return string(redcon.AppendBulkString(nil, text)) }
 
-// Ask sends requests to a gateway on one connection and returns all that comes back until the connection ends or
+// SendRequests sends requests to a gateway on one connection and returns all that comes back until the connection ends or
 // the wait is over.
-func Ask(address string, wait time.Duration, requests ...string) string {
+func SendRequests(address string, wait time.Duration, requests ...string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "no connection"
--- a/internal/gatewaytest/discovery.go
+++ b/internal/gatewaytest/discovery.go
@@ -66,18 +66,18 @@
 	partial     bool // half of each newer list is written, and what comes after is refused
 	wrotePartly bool // that has happened
 	refusing    bool // all calls are refused at once
-	written     []Writing
+	written     []WrittenList
 	server      *http.Server
 }
 
-// Writing is a list that the service has written to a caller.
-type Writing struct {
+// WrittenList is a list that the service has written to a caller.
+type WrittenList struct {
 	At       time.Time
 	Revision int64
 }
 
 // Written returns all lists that were written, in their order.
-func (d *Discovery) Written() []Writing {
+func (d *Discovery) Written() []WrittenList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.written)
@@ -180,7 +180,7 @@
 	io.WriteString(out, text)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.written = append(d.written, Writing{time.Now(), revision})
+	d.written = append(d.written, WrittenList{time.Now(), revision})
 }
 
 // watchOutcome is how the wait for a newer list ended.
--- a/internal/gatewaytest/endpoint.go
+++ b/internal/gatewaytest/endpoint.go
@@ -91,8 +91,8 @@
 	t        *testing.T
 	draining atomic.Bool
 
-	// Behave, if set before the first request, decides how each request is answered.
-	Behave func() Behavior
+	// NextBehavior, if set before the first request, decides how each request is answered.
+	NextBehavior func() Behavior
 
 	mu          sync.Mutex
 	arrivals    []Arrival
@@ -101,11 +101,11 @@
 
 // Arrival is a request as an endpoint got it: the ledger of what ran.
 type Arrival struct {
-	At       time.Time // when its last byte came, by the kernel
-	TakenAt  time.Time // when the endpoint took it, later beside load
-	ID       string
-	Write    bool // it is not idempotent
-	Executed bool // it was not turned away
+	At        time.Time // when its last byte came, by the kernel
+	HandledAt time.Time // when the endpoint took it, later beside load
+	ID        string
+	Write     bool // it is not idempotent
+	Executed  bool // it was not turned away
 }
 
 // Behavior is how an Endpoint answers a request.
@@ -158,14 +158,14 @@
 		return
 	}
 	behavior := Behavior{}
-	if e.Behave != nil {
-		behavior = e.Behave()
+	if e.NextBehavior != nil {
+		behavior = e.NextBehavior()
 	}
 	if e.draining.Load() {
 		behavior.Outcome = TurnsAway
 	}
 	e.mu.Lock()
-	e.arrivals = append(e.arrivals, Arrival{At: takenAt.Add(-sinceLastByte(conn.NetConn())), TakenAt: takenAt,
+	e.arrivals = append(e.arrivals, Arrival{At: takenAt.Add(-sinceLastByte(conn.NetConn())), HandledAt: takenAt,
 		ID: string(request.Args[2]), Write: string(request.Args[0]) == "API.WRITE", Executed: behavior.Outcome != TurnsAway})
 	e.mu.Unlock()
 	time.Sleep(behavior.Delay)
@@ -205,8 +205,8 @@
 	return slices.Clone(e.arrivals)
 }
 
-// ArrivedAfter counts the requests that arrived at any of the endpoints after a moment.
-func ArrivedAfter(endpoints []*Endpoint, moment time.Time) int {
+// CountArrivalsAfter counts the requests that arrived at any of the endpoints after a moment.
+func CountArrivalsAfter(endpoints []*Endpoint, moment time.Time) int {
 	arrived, _ := ArrivalsAfter(endpoints, moment, nil)
 	return len(arrived)
 }
--- a/internal/gatewaytest/fleet.go
+++ b/internal/gatewaytest/fleet.go
@@ -187,8 +187,8 @@
 // Address is where a gateway listens to clients.
 func (f *Fleet) Address(gateway int) string { return f.addresses[gateway] }
 
-// MoveDiscovery writes another address of discovery to a gateway's configuration file. SIGHUP has the gateway read it.
-func (f *Fleet) MoveDiscovery(gateway int, address string) {
+// SetDiscoveryAddress writes another address of discovery to a gateway's configuration file. SIGHUP has the gateway read it.
+func (f *Fleet) SetDiscoveryAddress(gateway int, address string) {
 	f.t.Helper()
 	f.changeConfiguration(gateway, func(text string) string { return WithAddress(text, "discovery", address) })
 }
