--- a/internal/gatewaytest/client.go
+++ b/internal/gatewaytest/client.go
@@ -13,23 +13,23 @@
 	"github.com/tidwall/redcon"
 )
 
-// lastRequestID makes the ids of requests: each has its own.
+// lastRequestID is the last id that NextRequestID returned.
 var lastRequestID atomic.Int64
 
-// NextRequestID is an id that no other request of this process has.
+// NextRequestID returns a request id that is unique within this process.
 func NextRequestID() int64 { return lastRequestID.Add(1) }
 
-// ReadRequest is the text of a request that is idempotent.
+// ReadRequest returns the text of an idempotent request.
 func ReadRequest(key string) string {
 	return fmt.Sprintf("API.READ %s %d c=look,d=600", key, NextRequestID())
 }
 
-// WriteRequest is the text of a request that is not idempotent.
+// WriteRequest returns the text of a request that is not idempotent.
 func WriteRequest(key, body string) string {
 	return fmt.Sprintf("API.WRITE %s %d c=book,d=600 %s", key, NextRequestID(), body)
 }
 
-// EncodeRequest is a request as a client writes it: an array of the text's words.
+// EncodeRequest encodes a request as a client writes it: an array of bulk strings, one for each word of the text.
 func EncodeRequest(text string) []byte {
 	words := strings.Split(text, " ")
 	encoded := redcon.AppendArray(nil, len(words))
@@ -39,11 +39,11 @@
 	return encoded
 }
 
-// BulkString is a value as a client gets it.
+// BulkString returns a value encoded as the gateway writes it to a client.
 func BulkString(text string) string { return string(redcon.AppendBulkString(nil, text)) }
 
-// SendRequests sends requests to a gateway on one connection and returns all that comes back until the connection ends or
-// the wait is over.
+// SendRequests sends requests to a gateway on one connection and returns everything received until the connection ends
+// or the wait is over. If the connection cannot be opened, it returns a text that says so.
 func SendRequests(address string, wait time.Duration, requests ...string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -54,11 +54,11 @@
 		conn.Write(EncodeRequest(request))
 	}
 	conn.SetReadDeadline(time.Now().Add(wait))
-	answers, _ := io.ReadAll(conn)
-	return string(answers)
+	responses, _ := io.ReadAll(conn)
+	return string(responses)
 }
 
-// ReadLastWord reads a request as an endpoint does and returns its last word, which is the body of a write.
+// ReadLastWord reads a request from a gateway and returns its last word, which is the body of a write.
 func ReadLastWord(in *bufio.Reader) (word string, err error) {
 	head, err := in.ReadString('\n')
 	if err != nil {
@@ -73,7 +73,7 @@
 	return strings.TrimRight(word, "\r\n"), err
 }
 
-// Ping reports whether a gateway answers PING in time.
+// Ping reports whether a gateway answers PING within the wait.
 func Ping(address string, wait time.Duration) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/gatewaytest/configuration.go
+++ b/internal/gatewaytest/configuration.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Settings is the settings object of a gateway of rank 0 among two: the op types look, which is idempotent, and book,
-// which is not.
+// Settings is the settings object of the gateway of rank 0 in a fleet of two. Its op types are look, which is
+// idempotent, and book, which is not.
 const Settings = `{"rank":0,"balancers":2,"locality":0,"period_ms":5,"areas":["a"],"host_types":["m"],"lanes":[
 {"name":"look","aim_ms":500,"give_up_ms":2000,"gain":1,"repeat":"repeatable"},
 {"name":"book","aim_ms":500,"give_up_ms":1500,"gain":3,"repeat":"once"}],"orgs":[],
@@ -21,7 +21,7 @@
 "steps":[0.1,0.5,1],"lag_fee":0.3,"damage_price":8,"vote_ttl_ms":6000,"api_timeout_ms":2000},
 "feedback":{"how":"inline","fields":["utilization"]}}`
 
-// FleetSettings is Settings for the gateway of a rank among others, which exchange messages or don't.
+// FleetSettings returns Settings for the gateway of a given rank in a fleet, with or without messages between gateways.
 func FleetSettings(rank, gateways int, messages bool) string {
 	text := strings.Replace(Settings, `"rank":0,"balancers":2`, fmt.Sprintf(`"rank":%d,"balancers":%d`, rank, gateways), 1)
 	if !messages {
@@ -30,11 +30,11 @@
 	return text
 }
 
-// ReleasedStatus is the rollout status of a build that is released.
+// ReleasedStatus is the rollout status of a released build.
 const ReleasedStatus = `{"release":1,"tranche":2,"mode":"live","exposure":1,"old_ms":0}`
 
-// Configuration is what a gateway's configuration file says. Only addresses, and what differs between tests, are
-// fields; the rest is the same for all.
+// Configuration is the variable part of a gateway's configuration file: addresses, and the values that differ between
+// tests. Text adds the rest, which is the same for all tests.
 type Configuration struct {
 	Name              string
 	Listen            string
@@ -42,13 +42,13 @@
 	RolloutController string
 	Seed              uint64
 	Descriptors       int
-	PeerListen        string // empty for no messages between gateways
+	PeerListen        string // empty disables messages between gateways
 	Peers             []string
-	Endpoints         []EndpointRecord // the list that it starts from, revision 1
+	Endpoints         []EndpointRecord // the initial endpoint list, revision 1
 	Settings          string
 }
 
-// Text is the text of the configuration file.
+// Text returns the text of the configuration file.
 func (c Configuration) Text() string {
 	var peers string
 	if c.PeerListen != "" {
@@ -65,13 +65,13 @@
 		c.RolloutController, ReleasedStatus, EndpointList{Revision: 1, Complete: true, Endpoints: c.Endpoints}.Text(), c.Settings)
 }
 
-// WithAddress is the text of a configuration in which the first field of a name holds another address.
+// WithAddress returns the text of a configuration with the first field of the given name set to another address.
 func WithAddress(text, field, address string) string {
 	head, tail, _ := strings.Cut(text, field+`":"`)
 	return head + field + `":"` + address + tail[strings.Index(tail, `"`):]
 }
 
-// EndpointRecord is one endpoint as discovery lists it.
+// EndpointRecord is one endpoint in discovery's list.
 type EndpointRecord struct {
 	ID          string `json:"id"`
 	Address     string `json:"host_port"`
@@ -84,20 +84,20 @@
 	Build       int    `json:"build"`
 }
 
-// ReadyEndpoint is the record of an endpoint of build 1 that is up.
+// ReadyEndpoint returns the record of an endpoint of build 1 that is up.
 func ReadyEndpoint(id, address string) EndpointRecord {
 	return EndpointRecord{ID: id, Address: address, Zone: "a", MachineType: "m", Phase: "up", Size: 4, Build: 1}
 }
 
-// EndpointList is an answer of discovery.
+// EndpointList is a response of discovery.
 type EndpointList struct {
 	Complete  bool             `json:"complete,omitempty"`
 	Endpoints []EndpointRecord `json:"members"`
 	Revision  int64            `json:"revision"`
 }
 
-// Text is the list as discovery writes it.
+// Text returns the list as discovery writes it.
 func (l EndpointList) Text() string {
-	text, _ := json.Marshal(l) // strings and numbers alone cannot fail
+	text, _ := json.Marshal(l) // cannot fail: the fields are only strings, numbers and booleans
 	return string(text)
 }
--- a/internal/gatewaytest/gatewaytest.go
+++ b/internal/gatewaytest/gatewaytest.go
@@ -1,5 +1,6 @@
-// Package gatewaytest holds what tests of the gateway program share: fake endpoints, a fake discovery service, a fake
-// rollout controller, clients, configurations, and fleets of gateway processes. Everything listens on loopback.
+// Package gatewaytest provides helpers for tests of the gateway program: fake endpoints, a fake discovery service, a
+// fake rollout controller, clients, configurations, and fleets of gateway processes. All of them listen on loopback
+// addresses.
 package gatewaytest
 
 import (
@@ -7,13 +8,13 @@
 	"testing"
 )
 
-// Listen opens a listener on a port of loopback that no other test has. It is closed when the test ends.
+// Listen opens a listener on a loopback port that no other test uses. It is closed when the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	var listener net.Listener
-	// The listener that finds the port free is kept: one that was closed stays open in a process that is being started
-	// until that has run exec.
-	reserve(t, func(address string) bool {
+	// The first listener that opens is returned, instead of being closed and opened again. A closed listener stays open
+	// in any child process that is being started, until the child has run exec.
+	reserveAddress(t, func(address string) bool {
 		var err error
 		listener, err = net.Listen("tcp", address)
 		return err == nil
@@ -22,7 +23,7 @@
 	return listener
 }
 
-// ListenPacket opens a datagram socket on a free port of loopback. It is closed when the test ends.
+// ListenPacket opens a UDP socket on a free loopback port. It is closed when the test ends.
 func ListenPacket(t *testing.T) net.PacketConn {
 	t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -33,7 +34,7 @@
 	return socket
 }
 
-// ReceiveDatagrams passes on the size of each datagram that arrives at a new socket, and returns the socket's address.
+// ReceiveDatagrams opens a UDP socket, returns its address and sends the size of each datagram received to sizes.
 func ReceiveDatagrams(t *testing.T, sizes chan<- int) string {
 	t.Helper()
 	socket := ListenPacket(t)
@@ -49,7 +50,7 @@
 	return socket.LocalAddr().String()
 }
 
-// Serve accepts connections and has each served on a goroutine of its own, until the listener is closed.
+// Serve accepts connections and serves each on its own goroutine, until the listener is closed.
 func Serve(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/gatewaytest/processortime.go
+++ b/internal/gatewaytest/processortime.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ThreadTime is what one thread did with the processor.
+// ThreadTime is the scheduling time of one thread or the sum of several.
 type ThreadTime struct {
-	Ran    time.Duration
-	Waited time.Duration // for a processor, while it could have run
+	Ran    time.Duration // on a processor
+	Waited time.Duration // for a processor, while runnable
 }
 
-// ProcessorTime is what the threads of a process did with the processor, by the kernel's schedstat and their ids.
+// ProcessorTime holds the scheduling times of a process's threads by thread id, from the kernel's schedstat files.
 type ProcessorTime map[string]ThreadTime
 
-// Since returns the times since an earlier reading.
+// Since returns the times that were added since an earlier reading.
 func (p ProcessorTime) Since(earlier ProcessorTime) ProcessorTime {
 	since := ProcessorTime{}
 	for id, thread := range p {
@@ -25,16 +25,16 @@
 	return since
 }
 
-// Sum returns the times of all threads together.
+// Sum returns the sum of the times of all threads.
 func (p ProcessorTime) Sum() (sum ThreadTime) {
-	for _, thread := range p { // each is added by itself: any order will do
+	for _, thread := range p { // the sum does not depend on the order
 		sum.Ran += thread.Ran
 		sum.Waited += thread.Waited
 	}
 	return sum
 }
 
-// LongestWait returns the time of the thread that waited longest for a processor.
+// LongestWait returns the longest time that any thread waited for a processor.
 func (p ProcessorTime) LongestWait() (longest time.Duration) {
 	for _, thread := range p {
 		longest = max(longest, thread.Waited)
@@ -42,21 +42,21 @@
 	return longest
 }
 
-// String returns the times for a log.
+// String formats the times for a log.
 func (p ProcessorTime) String() string {
 	sum := p.Sum()
 	return fmt.Sprintf("ran for %v, waited for a processor for %v, the thread that waited longest for %v",
 		sum.Ran.Round(time.Millisecond), sum.Waited.Round(time.Millisecond), p.LongestWait().Round(time.Millisecond))
 }
 
-// ProcessorTime reads the times of a gateway's process, none where it has ended.
+// ProcessorTime reads the times of a gateway's process. The result is empty if the process has ended.
 func (f *Fleet) ProcessorTime(gateway int) ProcessorTime {
 	threads := ProcessorTime{}
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", f.processes[gateway].command.Process.Pid))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended meanwhile
+			continue // the thread has ended in the meantime
 		}
 		var thread ThreadTime
 		if _, err := fmt.Sscan(string(text), &thread.Ran, &thread.Waited); err != nil {
--- a/internal/gatewaytest/rollout.go
+++ b/internal/gatewaytest/rollout.go
@@ -11,60 +11,60 @@
 	"time"
 )
 
-// heartbeatPeriod is the time between two heartbeats of the rollout controller.
+// heartbeatPeriod is the interval between two heartbeats of the rollout controller.
 const heartbeatPeriod = time.Second
 
-// RolloutController is a fake rollout controller: it sends the rollout status to each gateway that listens, at once
-// and at each change, and a heartbeat every second. It keeps votes and does not answer them.
+// RolloutController is a fake rollout controller. It sends each subscribed gateway the rollout status, at once and at
+// each change, and a heartbeat every second. It records votes and does not answer them.
 type RolloutController struct {
-	mu        sync.Mutex
-	status    string
-	listeners []net.Conn // open ones
-	written   map[string]time.Time
-	votes     []string
+	mu           sync.Mutex
+	status       string
+	subscribers  []net.Conn           // open connections of the gateways that listen for the status
+	firstWritten map[string]time.Time // by status
+	votes        []string
 }
 
-// NewRolloutController starts a rollout controller, whose status is ReleasedStatus, and returns its address.
+// NewRolloutController starts a rollout controller with the status ReleasedStatus, and returns it and its address.
 func NewRolloutController(t *testing.T) (*RolloutController, string) {
 	t.Helper()
-	c := &RolloutController{status: ReleasedStatus, written: map[string]time.Time{}}
+	c := &RolloutController{status: ReleasedStatus, firstWritten: map[string]time.Time{}}
 	listener := Listen(t)
 	go Serve(listener, c.serve)
 	go func() {
 		for ticks := time.NewTicker(heartbeatPeriod); t.Context().Err() == nil; <-ticks.C {
-			c.send(`{"jsonrpc":"2.0","method":"ping"}`)
+			c.broadcast(`{"jsonrpc":"2.0","method":"ping"}`)
 		}
 	}()
 	return c, listener.Addr().String()
 }
 
-// SetStatus sends another rollout status to all gateways that listen. Others get it as they do.
+// SetStatus sends another rollout status to all subscribed gateways. Others receive it when they subscribe.
 func (c *RolloutController) SetStatus(status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.status = status
-	for _, conn := range c.listeners {
+	for _, conn := range c.subscribers {
 		fmt.Fprintln(conn, statusLine(status))
-		c.noteWritten()
+		c.recordWritten()
 	}
 }
 
-// noteWritten notes that the present status was written to a gateway. The caller holds the lock.
-func (c *RolloutController) noteWritten() {
-	if _, known := c.written[c.status]; !known {
-		c.written[c.status] = time.Now()
+// recordWritten records that the current status was written to a gateway. The caller holds the lock.
+func (c *RolloutController) recordWritten() {
+	if _, known := c.firstWritten[c.status]; !known {
+		c.firstWritten[c.status] = time.Now()
 	}
 }
 
-// FirstWritten returns when a status was first written to a gateway, and whether it was.
+// FirstWritten returns when a status was first written to a gateway, and whether it was written at all.
 func (c *RolloutController) FirstWritten(status string) (at time.Time, written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, written = c.written[status]
+	at, written = c.firstWritten[status]
 	return at, written
 }
 
-// Votes returns the votes that gateways cast, each as it was written.
+// Votes returns the votes that gateways cast, each as the line received.
 func (c *RolloutController) Votes() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 }
 
 func (c *RolloutController) serve(conn net.Conn) {
-	defer c.forget(conn)
+	defer c.removeSubscriber(conn)
 	for in := bufio.NewScanner(conn); in.Scan(); {
 		if !strings.Contains(in.Text(), "listen") {
 			c.mu.Lock()
@@ -82,25 +82,25 @@
 		}
 		c.mu.Lock()
 		fmt.Fprintf(conn, "%s\n%s\n", `{"jsonrpc":"2.0","id":1,"result":true}`, statusLine(c.status))
-		c.noteWritten()
-		c.listeners = append(c.listeners, conn)
+		c.recordWritten()
+		c.subscribers = append(c.subscribers, conn)
 		c.mu.Unlock()
 	}
 }
 
-// forget takes a connection that has ended off the listeners.
-func (c *RolloutController) forget(conn net.Conn) {
+// removeSubscriber removes a connection that has ended from the subscribers and closes it.
+func (c *RolloutController) removeSubscriber(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listeners = slices.DeleteFunc(c.listeners, func(listener net.Conn) bool { return listener == conn })
+	c.subscribers = slices.DeleteFunc(c.subscribers, func(subscriber net.Conn) bool { return subscriber == conn })
 	conn.Close()
 }
 
-// send writes a line to all gateways that listen.
-func (c *RolloutController) send(line string) {
+// broadcast writes a line to all subscribed gateways.
+func (c *RolloutController) broadcast(line string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.listeners {
+	for _, conn := range c.subscribers {
 		fmt.Fprintln(conn, line)
 	}
 }
--- a/internal/gatewaytest/sentlate.go
+++ b/internal/gatewaytest/sentlate.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// heldUpLimit is how long the protocol page has a gateway be held up between its clock and a write.
-const heldUpLimit = 150 * time.Millisecond
+// maxSendDelay is the delay that the protocol page allows a gateway between its last clock reading and the write of an
+// attempt.
+const maxSendDelay = 150 * time.Millisecond
 
-// SentAttempt names an attempt by its request and its endpoint.
+// SentAttempt identifies an attempt by its request and endpoint.
 type SentAttempt struct{ RequestID, Endpoint string }
 
-// SentLate returns the attempts of which a gateway's log says that the process was held up for longer than the page has it
-// between the last look at the time and the write.
+// SentLate returns the attempts that a gateway's log reports as sent late, with a delay between the last clock reading
+// and the write that is longer than maxSendDelay.
 func (f *Fleet) SentLate(gateway int) map[SentAttempt]bool {
 	f.t.Helper()
 	text, err := os.ReadFile(logPath(f.configurations[gateway]))
@@ -34,27 +35,28 @@
 			key, value, _ := strings.Cut(field, "=")
 			fields[key] = value
 		}
-		if span, err := time.ParseDuration(fields["duration"]); err == nil && span > heldUpLimit {
+		if span, err := time.ParseDuration(fields["duration"]); err == nil && span > maxSendDelay {
 			late[SentAttempt{RequestID: fields["request_id"], Endpoint: fields["endpoint"]}] = true
 		}
 	}
 	return late
 }
 
-// ArrivalsAfter returns the attempts that arrived at any of the endpoints after a moment, without those given.
-func ArrivalsAfter(endpoints []*Endpoint, moment time.Time, without map[SentAttempt]bool) (arrived, leftOut []SentAttempt) {
+// ArrivalsAfter returns the attempts that arrived at any of the endpoints after the given time. Attempts in excluded
+// are returned separately.
+func ArrivalsAfter(endpoints []*Endpoint, moment time.Time, excluded map[SentAttempt]bool) (arrived, skipped []SentAttempt) {
 	for _, endpoint := range endpoints {
 		for _, arrival := range endpoint.Arrivals() {
 			if !arrival.At.After(moment) {
 				continue
 			}
 			attempt := SentAttempt{RequestID: arrival.ID, Endpoint: endpoint.Record.ID}
-			if without[attempt] {
-				leftOut = append(leftOut, attempt)
+			if excluded[attempt] {
+				skipped = append(skipped, attempt)
 			} else {
 				arrived = append(arrived, attempt)
 			}
 		}
 	}
-	return arrived, leftOut
+	return arrived, skipped
 }
