--- a/internal/gatewaytest/fleet.go
+++ b/internal/gatewaytest/fleet.go
@@ -52,15 +52,15 @@
 	configurations []string // paths of the configuration files, by gateway
 	processes      []*gatewayProcess
 
-	mu      sync.Mutex
-	serving map[int]bool // contains the gateways that have served a request
+	mu     sync.Mutex
+	served map[int]bool // contains the gateways that have served a request
 }
 
 // NewFleet prepares gateways with the given initial endpoint list, with or without messages between them. Start starts
 // their processes.
 func NewFleet(t *testing.T, gateways int, discovery string, records []EndpointRecord, messages bool) *Fleet {
 	t.Helper()
-	f := &Fleet{t: t, serving: map[int]bool{}}
+	f := &Fleet{t: t, served: map[int]bool{}}
 	var rollout string
 	f.Rollout, rollout = NewRolloutController(t)
 	var peers []string
@@ -236,7 +236,7 @@
 			}
 			if served {
 				f.mu.Lock()
-				f.serving[gateway] = true
+				f.served[gateway] = true
 				f.mu.Unlock()
 			}
 		}
@@ -249,7 +249,7 @@
 	f.t.Helper()
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		f.mu.Lock()
-		count := len(f.serving)
+		count := len(f.served)
 		f.mu.Unlock()
 		if count == len(f.addresses) {
 			return
--- a/internal/gatewaytest/rollout.go
+++ b/internal/gatewaytest/rollout.go
@@ -17,17 +17,17 @@
 // RolloutController is a fake rollout controller. It sends each subscribed gateway the rollout status, at once and at
 // each change, and a heartbeat every second. It records votes and does not answer them.
 type RolloutController struct {
-	mu           sync.Mutex
-	status       string
-	subscribers  []net.Conn           // open connections of the gateways that listen for the status
-	firstWritten map[string]time.Time // by status
-	votes        []string
+	mu          sync.Mutex
+	status      string
+	subscribers []net.Conn           // open connections of the gateways that listen for the status
+	written     map[string]time.Time // when each status was first written to a gateway
+	votes       []string
 }
 
 // NewRolloutController starts a rollout controller with the status ReleasedStatus, and returns it and its address.
 func NewRolloutController(t *testing.T) (*RolloutController, string) {
 	t.Helper()
-	c := &RolloutController{status: ReleasedStatus, firstWritten: map[string]time.Time{}}
+	c := &RolloutController{status: ReleasedStatus, written: map[string]time.Time{}}
 	listener := Listen(t)
 	go Serve(listener, c.serve)
 	go func() {
@@ -51,8 +51,8 @@
 
 // recordWritten records that the current status was written to a gateway. The caller holds the lock.
 func (c *RolloutController) recordWritten() {
-	if _, known := c.firstWritten[c.status]; !known {
-		c.firstWritten[c.status] = time.Now()
+	if _, known := c.written[c.status]; !known {
+		c.written[c.status] = time.Now()
 	}
 }
 
@@ -60,7 +60,7 @@
 func (c *RolloutController) FirstWritten(status string) (at time.Time, written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, written = c.firstWritten[status]
+	at, written = c.written[status]
 	return at, written
 }
 
