--- a/examples/fakebackends/main.go
+++ b/examples/fakebackends/main.go
@@ -1,6 +1,6 @@
-// Command fakebackends stands in for everything that a gateway reaches, so that one can be tried alone: two endpoints,
-// discovery and the rollout controller, at the addresses of examples/gateway.json. With "ask KEY" it is a client
-// instead, which sends the gateway one read and prints the answer.
+// Command fakebackends runs fakes of all services that a gateway connects to, so that a single gateway can be tried out
+// without them: two endpoints, discovery and the rollout controller, at the addresses of examples/gateway.json. With
+// the arguments "ask KEY" it acts as a client instead: it sends the gateway one read request and prints the response.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Addresses, as in examples/gateway.json.
+// Addresses of the gateway and its backends, as in examples/gateway.json.
 const (
 	gatewayAddress           = "127.0.0.1:6379"
 	discoveryAddress         = "127.0.0.1:8500"
@@ -42,28 +42,29 @@
 
 func main() {
 	if len(os.Args) == 3 && os.Args[1] == "ask" {
-		answer, err := ask(os.Args[2])
+		response, err := sendRead(os.Args[2])
 		if err != nil {
 			log.Fatal(err)
 		}
-		fmt.Print(answer)
+		fmt.Print(response)
 		return
 	}
 	log.Fatal(serve())
 }
 
-// serve runs all stand-ins until one of them fails.
+// serve runs all fake backends until one of them fails.
 func serve() error {
-	failed := make(chan error, 4)
+	errs := make(chan error, 4)
 	for _, address := range []string{firstEndpointAddress, secondEndpointAddress} {
-		go func() { failed <- redcon.ListenAndServe(address, endpointHandler(address), nil, nil) }()
+		go func() { errs <- redcon.ListenAndServe(address, endpointHandler(address), nil, nil) }()
 	}
-	go func() { failed <- http.ListenAndServe(discoveryAddress, http.HandlerFunc(serveDiscovery)) }()
-	go func() { failed <- serveRolloutController() }()
-	return <-failed
+	go func() { errs <- http.ListenAndServe(discoveryAddress, http.HandlerFunc(serveDiscovery)) }()
+	go func() { errs <- serveRolloutController() }()
+	return <-errs
 }
 
-// endpointHandler answers every request with the endpoint's address and the request's key; a key "fail" fails.
+// endpointHandler returns a handler that answers each request with its key and the endpoint's address. Requests with
+// the key "fail" fail.
 func endpointHandler(address string) func(redcon.Conn, redcon.Command) {
 	return func(conn redcon.Conn, request redcon.Command) {
 		if len(request.Args) < 4 {
@@ -83,15 +84,15 @@
 	}
 }
 
-// serveDiscovery answers with the endpoint list or, as nothing ever changes, with no change after the wait that was asked
-// for.
+// serveDiscovery answers with the endpoint list. To a caller that already has the list, it reports no change after the
+// requested wait, because the list never changes.
 func serveDiscovery(out http.ResponseWriter, in *http.Request) {
 	query := in.URL.Query()
 	if query.Get("after") != listRevision {
 		io.WriteString(out, endpointList)
 		return
 	}
-	milliseconds, _ := strconv.Atoi(query.Get("wait_ms")) // no number is no wait
+	milliseconds, _ := strconv.Atoi(query.Get("wait_ms")) // without a valid number there is no wait
 	select {
 	case <-time.After(time.Duration(milliseconds) * time.Millisecond):
 		io.WriteString(out, unchangedList)
@@ -99,7 +100,7 @@
 	}
 }
 
-// serveRolloutController accepts gateways until that fails.
+// serveRolloutController accepts connections of gateways until accepting fails.
 func serveRolloutController() error {
 	listener, err := net.Listen("tcp", rolloutControllerAddress)
 	if err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// sendRolloutStatus sends a gateway that listens the status of the only build, released, and then sends heartbeats until the
-// gateway has gone.
+// sendRolloutStatus waits for a gateway's listen request, sends the status of the only build, which is released, and
+// then sends heartbeats until the connection ends.
 func sendRolloutStatus(conn net.Conn) {
 	defer conn.Close()
 	if !bufio.NewScanner(conn).Scan() {
@@ -130,8 +131,8 @@
 	}
 }
 
-// ask sends the gateway one read and returns its answer: the value, or the line of an error.
-func ask(key string) (string, error) {
+// sendRead sends the gateway one read request and returns its response: the value, or the error line.
+func sendRead(key string) (string, error) {
 	conn, err := net.Dial("tcp", gatewayAddress)
 	if err != nil {
 		return "", err
