--- a/internal/gatewaytest/addresses.go
+++ b/internal/gatewaytest/addresses.go
@@ -35,7 +35,7 @@
 	start := os.Getpid() * portStride
 	for range reservedPorts {
 		port := firstReservedPort + (start+int(portsTried.Add(1)))%reservedPorts
-		lock, err := net.Listen("unix", fmt.Sprintf("@laurelring-test-port-%d", port)) // abstract: closed when its process ends
+		lock, err := net.Listen("unix", fmt.Sprintf("@laurelring-test-port-%d", port)) // abstract: ends with its process
 		if err != nil {
 			continue
 		}
