--- a/internal/docscheck/program_test.go
+++ b/internal/docscheck/program_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/tools/go/types/typeutil"
 )
 
-// programPatterns are the packages whose log lines the pages describe. Examples are excluded, because the
-// pages do not describe their log lines.
+// programPatterns are the packages whose log lines the pages describe. Examples are excluded, because they
+// write logs of their own.
 var programPatterns = []string{"./cmd/...", "./decision/...", "./internal/..."}
 
 // slogFunctions are the functions of log/slog that write a log line.
