--- a/internal/verifiedmetadata/path.go
+++ b/internal/verifiedmetadata/path.go
@@ -2,9 +2,11 @@
 
 import "strings"
 
+// maxPathBytes is the maximum length of a target path.
 const maxPathBytes = 512
 
-// IsSafePath reports whether a target path stays within its folder on any operating system.
+// IsSafePath reports whether a target path is relative and cannot point outside its folder on any operating system.
+// Control characters, invalid UTF-8 and paths longer than maxPathBytes are rejected too.
 func IsSafePath(path string) bool {
 	if path == "" || len(path) > maxPathBytes || strings.ContainsAny(path, "\\:\x00") {
 		return false
