--- a/internal/mirrorpool/fetch.go
+++ b/internal/mirrorpool/fetch.go
@@ -6,17 +6,17 @@
 	"laurelring/decision/monotonic"
 )
 
-// Step is what the driver of a fetch is to do next: an AttemptStep, a WaitStep or a DoneStep.
+// Step tells the driver of a fetch what to do next. It is an AttemptStep, a WaitStep or a DoneStep.
 type Step interface{ isStep() }
 
-// AttemptStep tells the driver to request the file from a mirror, from a byte offset on, until a deadline.
+// AttemptStep tells the driver to request the file from a mirror, starting at a byte offset, until a deadline.
 type AttemptStep struct {
 	Mirror   *Mirror
 	Offset   int64
 	Deadline monotonic.Time
 }
 
-// WaitStep tells the driver to ask for the next step at a moment.
+// WaitStep tells the driver to call NextStep again at the given time.
 type WaitStep struct {
 	Until monotonic.Time
 }
@@ -30,37 +30,37 @@
 func (WaitStep) isStep()    {}
 func (DoneStep) isStep()    {}
 
-// notFoundQuorum is how many mirrors have to report that they do not have a file, where two can be asked: a single
-// one could hide a file until what it still shows expires.
+// notFoundQuorum is the number of mirrors that must report that they do not have a file, if as many can be asked. A
+// single mirror could otherwise hide a newer file until the metadata that it still serves expire.
 const notFoundQuorum = 2
 
-// Fetch is one file being fetched.
+// Fetch is the fetch of one file, over all its attempts.
 type Fetch struct {
 	pool     *Pool
 	maxBytes int64
 	deadline monotonic.Time
 
-	mirror     *Mirror // of the attempt in flight, or nil
-	startedAt  monotonic.Time
-	received   int64 // bytes of this attempt
-	receivedAt monotonic.Time
+	mirror     *Mirror        // mirror of the attempt in flight, or nil
+	startedAt  monotonic.Time // start of the last attempt
+	received   int64          // bytes that the last attempt received
+	receivedAt monotonic.Time // time of its last byte, or its start
 
-	verified    int64 // bytes of the file, over all attempts
+	verified    int64 // verified bytes from the start of the file, over all attempts
 	attempts    int
 	tries       map[*Mirror]int
-	notFound    int            // mirrors that do not have the file
-	lastOutcome AttemptOutcome // of the last attempt
+	notFound    int            // number of attempts that ended because the mirror does not have the file
+	lastOutcome AttemptOutcome // outcome of the last attempt
 	done        bool
-	outcome     AttemptOutcome
+	outcome     AttemptOutcome // final outcome once done, until then the one to report if no attempt succeeds
 }
 
-// NewFetch starts to fetch a file of at most maxBytes, by a deadline.
+// NewFetch returns a fetch of a file of at most maxBytes that ends by a deadline.
 func (p *Pool) NewFetch(maxBytes int64, deadline monotonic.Time) *Fetch {
 	return &Fetch{pool: p, maxBytes: maxBytes, deadline: deadline, tries: map[*Mirror]int{}, outcome: OutcomeRefused}
 }
 
-// NextStep returns what to do now, while no attempt is in flight. An AttemptStep starts an attempt, which ends with
-// FinishAttempt, or when Received or CheckAttempt return false.
+// NextStep returns the next step of the fetch. It must not be called while an attempt is in flight. An AttemptStep
+// starts an attempt, which ends when FinishAttempt is called or when Received or CheckAttempt returns false.
 func (f *Fetch) NextStep(now monotonic.Time) Step {
 	limits := &f.pool.limits
 	switch {
@@ -71,15 +71,15 @@
 	case f.attempts >= limits.MaxAttempts:
 		return f.finish(f.outcome)
 	}
-	if affordableAt := f.pool.affordableAt(now, f.maxBytes-f.verified); affordableAt > now {
-		if affordableAt >= f.deadline {
+	if budgetAt := f.pool.withinBudgetAt(now, f.maxBytes-f.verified); budgetAt > now {
+		if budgetAt >= f.deadline {
 			return f.finish(OutcomeTimedOut)
 		}
-		return WaitStep{Until: affordableAt}
+		return WaitStep{Until: budgetAt}
 	}
-	mirror, availableAt := f.pool.pick(f, now)
+	mirror, availableAt := f.pool.pickMirror(f, now)
 	if mirror == nil {
-		if availableAt >= f.deadline { // waiting could not help
+		if availableAt >= f.deadline { // waiting would not help
 			return f.finish(f.outcome)
 		}
 		return WaitStep{Until: availableAt}
@@ -91,8 +91,8 @@
 	return AttemptStep{Mirror: mirror, Offset: f.verified, Deadline: min(f.deadline, now+limits.AttemptTimeout)}
 }
 
-// Received reports bytes of the attempt in flight, and how many bytes of the file are verified by now. It returns
-// whether the attempt may go on; where not, it has ended.
+// Received reports that the attempt in flight received bytes, and how many bytes of the file are verified so far. It
+// returns whether the attempt may continue. If it returns false, the attempt has ended.
 func (f *Fetch) Received(bytes, verified int64, now monotonic.Time) bool {
 	if f.mirror == nil {
 		return false
@@ -103,18 +103,19 @@
 	if bytes > 0 {
 		f.receivedAt = now
 	}
-	if f.received > f.maxBytes { // also where the mirror sends the whole file in place of a range
+	if f.received > f.maxBytes { // also if the mirror sends the whole file instead of the requested range
 		f.FinishAttempt(OutcomeTooLarge, now)
 		return false
 	}
 	return f.CheckAttempt(now)
 }
 
-// IsComplete reports whether a count of verified bytes is all that the file may have.
+// IsComplete reports whether the number of verified bytes is the maximum that the file may have.
 func (f *Fetch) IsComplete(verified int64) bool { return verified > 0 && verified == f.maxBytes }
 
-// CheckAttempt returns whether the attempt in flight may go on; where not, it has ended. It is to be called when bytes
-// arrive and at NextCheck.
+// CheckAttempt returns whether the attempt in flight may continue under the time limits. If it returns false, the
+// attempt has ended. Received calls it when bytes arrive, and the driver must call it at the time that NextCheck
+// returns.
 func (f *Fetch) CheckAttempt(now monotonic.Time) bool {
 	limits := &f.pool.limits
 	elapsed := now - f.startedAt
@@ -134,19 +135,19 @@
 	return false
 }
 
-// NextCheck returns when the attempt in flight is to be checked next if no byte arrives.
+// NextCheck returns the time at which CheckAttempt must be called next if no byte arrives before.
 func (f *Fetch) NextCheck() monotonic.Time {
 	limits := &f.pool.limits
 	checkAt := min(f.deadline, f.startedAt+limits.AttemptTimeout, f.receivedAt+limits.StallTimeout)
-	if limits.MinBytesPerSecond > 0 { // when the received bytes fall below the rate
+	if limits.MinBytesPerSecond > 0 { // time at which the average rate falls below the minimum without further bytes
 		covered := time.Duration(f.received * int64(time.Second) / limits.MinBytesPerSecond)
 		checkAt = min(checkAt, max(f.startedAt+limits.RateGracePeriod, f.startedAt+covered+1))
 	}
 	return checkAt
 }
 
-// FinishAttempt reports how the attempt in flight ended; without one it does nothing. A mirror that does not have the
-// file, which another may have, is not at fault. Any other failure puts the mirror into backoff.
+// FinishAttempt reports the outcome of the attempt in flight. Without one it does nothing. A missing file does not
+// count as a failure of the mirror, and neither does a canceled fetch. Any other failure puts the mirror into backoff.
 func (f *Fetch) FinishAttempt(outcome AttemptOutcome, now monotonic.Time) {
 	mirror := f.mirror
 	if mirror == nil {
@@ -157,23 +158,23 @@
 	mirror.lastOutcome, f.lastOutcome = outcome, outcome
 	switch outcome {
 	case OutcomeCompleted:
-		mirror.succeeded()
+		mirror.recordSuccess()
 		f.finish(OutcomeCompleted)
 	case OutcomeNotFound:
 		f.notFound++
 		f.outcome = OutcomeNotFound
-		if f.notFound >= notFoundQuorum || !f.pool.hasUntried(f, now) {
+		if f.notFound >= notFoundQuorum || !f.pool.hasUntriedMirror(f, now) {
 			f.finish(OutcomeNotFound)
 		}
 	case OutcomeCanceled:
 		f.finish(OutcomeCanceled)
 	default:
-		f.pool.backOff(mirror, now)
+		f.pool.recordFailure(mirror, now)
 		f.outcome = outcome
 	}
 }
 
-// finish ends the fetch, once.
+// finish ends the fetch with an outcome, unless it has ended already.
 func (f *Fetch) finish(outcome AttemptOutcome) Step {
 	if !f.done {
 		f.done, f.outcome = true, outcome
@@ -181,22 +182,23 @@
 	return DoneStep{Outcome: f.outcome}
 }
 
-// NotFoundCount returns how many mirrors reported that they do not have the file.
+// NotFoundCount returns the number of attempts in which a mirror reported that it does not have the file.
 func (f *Fetch) NotFoundCount() int { return f.notFound }
 
-// Restart drops the verified bytes, so that the next attempt starts at the file's first byte.
+// Restart discards the count of verified bytes, so that the next attempt starts at the first byte of the file.
 func (f *Fetch) Restart() { f.verified = 0 }
 
-// Cancel ends the fetch for its caller.
+// Cancel ends the fetch and its attempt in flight with OutcomeCanceled.
 func (f *Fetch) Cancel(now monotonic.Time) {
 	f.FinishAttempt(OutcomeCanceled, now)
 	f.finish(OutcomeCanceled)
 }
 
-// Outcome returns how the fetch ended, and false while it goes on.
+// Outcome returns the final outcome of the fetch and true, or false in done while the fetch is in progress.
 func (f *Fetch) Outcome() (outcome AttemptOutcome, done bool) { return f.outcome, f.done }
 
-// LastAttempt returns how the last attempt ended, and false while one is in flight or none was started.
+// LastAttempt returns the outcome of the last attempt. ended is false while an attempt is in flight or if none was
+// started.
 func (f *Fetch) LastAttempt() (outcome AttemptOutcome, ended bool) {
 	return f.lastOutcome, f.mirror == nil && f.attempts > 0
 }
--- a/internal/mirrorpool/mirrorpool.go
+++ b/internal/mirrorpool/mirrorpool.go
@@ -1,6 +1,6 @@
-// Package mirrorpool decides from which mirror a file is fetched, when another mirror is tried, and when a fetch is
-// given up. It does no I/O and reads no clock: a driver executes the steps it returns and reports what it received.
-// Each fetch has exactly one final outcome, before its deadline.
+// Package mirrorpool decides from which mirror a file is fetched, when another mirror is tried, and when a fetch fails.
+// It does no I/O and reads no clock: a driver executes the steps that a fetch returns and reports the received bytes.
+// Each fetch has exactly one final outcome, by its deadline.
 package mirrorpool
 
 import (
@@ -12,21 +12,21 @@
 	"laurelring/internal/seededrand"
 )
 
-// Limits bound each fetch, and all fetches together.
+// Limits bounds each fetch and the bandwidth of all fetches together.
 type Limits struct {
-	MaxAttempts            int           // of one fetch
-	AttemptTimeout         time.Duration // of one attempt
-	StallTimeout           time.Duration // without a byte, after which an attempt has stalled
-	MinBytesPerSecond      int64         // average rate of an attempt, 0 for none,
-	RateGracePeriod        time.Duration // demanded after this time
-	MaxConcurrentPerMirror int           // fetches in flight at one mirror
-	InitialBackoff         time.Duration // of a mirror after its first failure; doubles with each further one
-	MaxBackoff             time.Duration
-	BudgetBytes            int64         // of all fetches within
-	BudgetWindow           time.Duration // this window
+	MaxAttempts            int           // maximum number of attempts of one fetch
+	AttemptTimeout         time.Duration // maximum duration of one attempt
+	StallTimeout           time.Duration // an attempt has stalled after this time without a byte
+	MinBytesPerSecond      int64         // minimum average rate of an attempt, 0 for none
+	RateGracePeriod        time.Duration // time after the start of an attempt before MinBytesPerSecond applies
+	MaxConcurrentPerMirror int           // maximum number of attempts in flight at one mirror
+	InitialBackoff         time.Duration // after the first failure of a mirror; doubles with each consecutive failure
+	MaxBackoff             time.Duration // upper bound of the doubled backoff, without its random part
+	BudgetBytes            int64         // maximum number of bytes that all fetches receive per BudgetWindow
+	BudgetWindow           time.Duration // period of BudgetBytes
 }
 
-// DefaultLimits suit metadata and targets of some megabytes.
+// DefaultLimits are suitable for metadata and targets of a few megabytes.
 var DefaultLimits = Limits{
 	MaxAttempts:            6,
 	AttemptTimeout:         20 * time.Second,
@@ -43,9 +43,9 @@
 // maxBackoffDoublings bounds the shift that doubles a backoff.
 const maxBackoffDoublings = 16
 
-// Mirror is one mirror with its health.
+// Mirror is one mirror with the state that decides whether it gets attempts.
 type Mirror struct {
-	Name string // its URL
+	Name string // URL of the mirror
 
 	inFlight            int
 	consecutiveFailures int
@@ -56,24 +56,24 @@
 	failed              int
 }
 
-// succeeded ends the mirror's backoff.
-func (m *Mirror) succeeded() {
+// recordSuccess counts a served file and ends the mirror's backoff.
+func (m *Mirror) recordSuccess() {
 	m.consecutiveFailures, m.backoffUntil = 0, 0
 	m.served++
 }
 
-// Pool holds the mirrors and the budget of bytes. It is not safe for concurrent use.
+// Pool holds the mirrors and the byte budget of all fetches. It is not safe for concurrent use.
 type Pool struct {
 	limits  Limits
 	mirrors []*Mirror
 	random  *seededrand.Source
 
-	spentBytes float64 // of the budget, decreasing with time
-	spentAt    monotonic.Time
+	spentBytes float64        // spent part of the byte budget, which decreases with time
+	spentAt    monotonic.Time // time up to which spentBytes has been decreased
 }
 
-// NewPool returns a pool of mirrors, named in the operator's order. Gateways with different seeds spread over the
-// mirrors.
+// NewPool returns a pool of the named mirrors, in the operator's order. The seed makes gateways choose different
+// mirrors, which spreads their load.
 func NewPool(names []string, seed uint64, limits Limits) *Pool {
 	p := &Pool{limits: limits, random: seededrand.New(seed)}
 	for _, name := range names {
@@ -82,8 +82,8 @@
 	return p
 }
 
-// SetDraining sets whether a mirror drains: it gets no new attempts, while those in flight go on. It returns false for
-// an unknown mirror.
+// SetDraining sets whether a mirror is draining. A draining mirror gets no new attempts, but attempts in flight
+// continue. SetDraining returns false if there is no mirror with this name.
 func (p *Pool) SetDraining(name string, draining bool) bool {
 	for _, mirror := range p.mirrors {
 		if mirror.Name == name {
@@ -94,19 +94,20 @@
 	return false
 }
 
-// SetDrainingMirrors sets which mirrors drain; all others do not.
+// SetDrainingMirrors makes exactly the named mirrors draining.
 func (p *Pool) SetDrainingMirrors(names []string) {
 	for _, mirror := range p.mirrors {
 		mirror.draining = slices.Contains(names, mirror.Name)
 	}
 }
 
-// never is later than any moment.
+// never is a time later than any other.
 const never = monotonic.Time(math.MaxInt64)
 
-// pick draws among the available mirrors that the fetch has tried least. Where none is available it returns the moment
-// at which the first one will be, or never.
-func (p *Pool) pick(f *Fetch, now monotonic.Time) (*Mirror, monotonic.Time) {
+// pickMirror chooses at random among the available mirrors that the fetch has tried least often. If no mirror is
+// available, it returns the time at which to look again: the earliest end of a backoff, or StallTimeout from now if a
+// mirror has too many attempts in flight. It returns never if all mirrors are draining.
+func (p *Pool) pickMirror(f *Fetch, now monotonic.Time) (*Mirror, monotonic.Time) {
 	var candidates []*Mirror
 	fewestTries, availableAt := math.MaxInt, never
 	for _, mirror := range p.mirrors {
@@ -135,8 +136,8 @@
 	return candidates[p.random.Int64N(int64(len(candidates)))], now
 }
 
-// hasUntried reports whether a mirror that the fetch has not tried is available now.
-func (p *Pool) hasUntried(f *Fetch, now monotonic.Time) bool {
+// hasUntriedMirror reports whether the fetch has not yet tried some mirror that is neither draining nor in backoff.
+func (p *Pool) hasUntriedMirror(f *Fetch, now monotonic.Time) bool {
 	for _, mirror := range p.mirrors {
 		if !mirror.draining && now >= mirror.backoffUntil && f.tries[mirror] == 0 {
 			return true
@@ -145,9 +146,10 @@
 	return false
 }
 
-// backOff keeps new attempts away from a mirror that failed: for a backoff that doubles with each consecutive failure,
-// and a random part as long again, so that gateways do not come back at once.
-func (p *Pool) backOff(mirror *Mirror, now monotonic.Time) {
+// recordFailure counts a failure and starts a backoff, in which the mirror gets no new attempts. The backoff doubles
+// with each consecutive failure and is extended by a random part of up to its own length, so that gateways do not all
+// return at the same time.
+func (p *Pool) recordFailure(mirror *Mirror, now monotonic.Time) {
 	mirror.consecutiveFailures++
 	mirror.failed++
 	doublings := min(mirror.consecutiveFailures-1, maxBackoffDoublings)
@@ -155,8 +157,8 @@
 	mirror.backoffUntil = now + backoff + p.random.Duration(backoff)
 }
 
-// affordableAt returns the moment from which on the budget allows further bytes.
-func (p *Pool) affordableAt(now monotonic.Time, bytes int64) monotonic.Time {
+// withinBudgetAt returns the earliest time at which the byte budget allows a number of further bytes.
+func (p *Pool) withinBudgetAt(now monotonic.Time, bytes int64) monotonic.Time {
 	rate := float64(p.limits.BudgetBytes) / float64(p.limits.BudgetWindow)
 	p.spentBytes = max(0, p.spentBytes-rate*float64(max(0, now-p.spentAt)))
 	p.spentAt = max(now, p.spentAt)
@@ -167,17 +169,17 @@
 	return now + time.Duration(math.Ceil(excess/rate))
 }
 
-// MirrorState is what operators are shown of a mirror. Its JSON form is part of what gatewayctl prints.
+// MirrorState is the state of a mirror as shown to operators. Its JSON encoding is part of the output of gatewayctl.
 type MirrorState struct {
 	Name        string        `json:"mirror"`
-	Backoff     time.Duration `json:"aside_ns,omitempty"` // that remains
+	Backoff     time.Duration `json:"aside_ns,omitempty"` // remaining time of the backoff
 	Draining    bool          `json:"draining,omitempty"`
 	LastOutcome string        `json:"last"`
 	Served      int           `json:"served"`
 	Failed      int           `json:"failed"`
 }
 
-// States returns the state of each mirror, in the operator's order.
+// States returns the states of all mirrors, in the operator's order.
 func (p *Pool) States(now monotonic.Time) []MirrorState {
 	var states []MirrorState
 	for _, mirror := range p.mirrors {
