--- a/internal/mirrorpool/fetch.go
+++ b/internal/mirrorpool/fetch.go
@@ -71,11 +71,11 @@
 	case f.attempts >= limits.MaxAttempts:
 		return f.finish(f.outcome)
 	}
-	if budgetAt := f.pool.withinBudgetAt(now, f.maxBytes-f.verified); budgetAt > now {
-		if budgetAt >= f.deadline {
+	if withinBudgetAt := f.pool.withinBudgetAt(now, f.maxBytes-f.verified); withinBudgetAt > now {
+		if withinBudgetAt >= f.deadline {
 			return f.finish(OutcomeTimedOut)
 		}
-		return WaitStep{Until: budgetAt}
+		return WaitStep{Until: withinBudgetAt}
 	}
 	mirror, availableAt := f.pool.pickMirror(f, now)
 	if mirror == nil {
