--- a/internal/store/lock.go
+++ b/internal/store/lock.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	lockTimeout       = time.Second // how long Open waits for another process to release the lock
+	lockTimeout       = time.Second // how long Open waits while another process holds the lock
 	lockRetryInterval = 20 * time.Millisecond
 )
 
-// acquireLock takes an advisory lock on a file. The kernel releases it when the process ends, however it ends.
+// acquireLock takes an exclusive advisory lock on a file and returns the open file, which holds the lock until it is
+// closed. The kernel also releases the lock when the process ends for any reason. acquireLock returns ErrInUse if the
+// lock is not released within lockTimeout.
 func acquireLock(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store persists verified metadata and fetched targets over a restart. The records of all roles change
-// together or not at all; versions never go back; a file that was cut off or altered on disk is detected, reported and
-// never used. Without a folder everything is held in memory and lost with the process.
+// Package store persists verified metadata and fetched targets across restarts. Changes of several records are atomic.
+// Record versions never decrease, unless a record allows a rollback. A state file that was truncated or altered on disk
+// is detected, reported and never used. Without a folder all data are held in memory and lost when the process ends.
 package store
 
 import (
@@ -14,46 +14,46 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-// Errors that a caller can act on. Their texts are part of what gatewayctl prints.
+// Errors that callers can handle. Their texts are part of the output of gatewayctl.
 var (
-	// ErrInUse is returned by Open while another process holds the store's lock.
+	// ErrInUse is returned by Open if another process holds the lock of the store.
 	ErrInUse = errors.New("another process holds the store")
-	// ErrRollback is returned by Put for a record whose version is lower than the stored one.
+	// ErrRollback is returned by Put if the version of a record is lower than the stored version.
 	ErrRollback = errors.New("the version would go back")
-	// ErrMemoryFull is returned by CreateTarget where a target exceeds the memory left for targets.
+	// ErrMemoryFull is returned by CreateTarget if a target does not fit into the memory that is left for targets.
 	ErrMemoryFull = errors.New("no room in memory for the target")
 
 	errDamaged = errors.New("the store is damaged")
 )
 
-// Names in the store's folder. They are a stored form: other versions of the program read them.
+// File and folder names in the store's folder. They must not change, as other versions of the program read them.
 const (
-	fileName      = "trust"
-	previousName  = "trust.old"     // the state before the last change
-	damagedName   = "trust.damaged" // the last state file that was found damaged, for inspection
-	lockName      = "lock"
-	targetsFolder = "targets"
-	partsFolder   = "parts" // unfinished files
+	stateName         = "trust"         // the current state
+	previousStateName = "trust.old"     // the state before the last change
+	damagedStateName  = "trust.damaged" // the last state file that was found damaged, kept for inspection
+	lockName          = "lock"
+	targetsFolder     = "targets"
+	partsFolder       = "parts" // unfinished files, removed by Open
 )
 
-// Store holds the records and targets. It is not safe for concurrent use.
+// Store holds records of verified metadata and fetched targets. It is not safe for concurrent use.
 type Store struct {
-	folder        string // empty: everything is in memory
-	lock          *os.File
+	folder        string   // empty if all data are in memory
+	lock          *os.File // nil if all data are in memory, and after Close
 	current       state
-	memoryTargets map[string][]byte // contents by path, without a folder
-	memoryBytes   int
-	damage        error
+	memoryTargets map[string][]byte // contents by target path, if all data are in memory
+	memoryBytes   int               // total size of memoryTargets
+	damage        error             // damage found by Open, or nil
 }
 
-// NewMemory returns a store that lives in memory and is lost with the process.
+// NewMemory returns a store that holds all data in memory. They are lost when the process ends.
 func NewMemory() *Store {
 	return &Store{current: emptyState(), memoryTargets: map[string][]byte{}}
 }
 
-// Open opens the store in a folder, which it creates if there is none. Where the state file is damaged or missing, the
-// previous state is used, or an empty one if there is none; Damage reports that. It returns ErrInUse while another
-// process holds the store.
+// Open opens the store in a folder, which it creates if it does not exist. If the state file is damaged or missing,
+// Open uses the previous state, or an empty state if there is no usable previous one. Damage reports this, unless the
+// state file is missing and there is no usable previous one. Open returns ErrInUse if another process holds the store.
 func Open(folder string) (*Store, error) {
 	s := &Store{folder: folder}
 	if err := os.MkdirAll(s.path(partsFolder), 0o700); err != nil {
@@ -63,19 +63,19 @@
 	if s.lock, err = acquireLock(s.path(lockName)); err != nil {
 		return nil, err
 	}
-	if err := s.load(); err != nil {
+	if err := s.loadState(); err != nil {
 		s.Close()
 		return nil, err
 	}
-	if err := s.removeParts(); err != nil {
+	if err := s.removeUnfinishedFiles(); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// removeParts removes what interrupted writes left behind.
-func (s *Store) removeParts() error {
+// removeUnfinishedFiles removes the files that interrupted writes left behind.
+func (s *Store) removeUnfinishedFiles() error {
 	parts, err := os.ReadDir(s.path(partsFolder))
 	if err != nil {
 		return err
@@ -86,17 +86,17 @@
 	return nil
 }
 
-// path returns the path of a name in the store's folder.
+// path returns the path of a file or folder in the store's folder.
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// Damage returns what was found damaged when the store was opened, or nil. What was stored after the previous state is
-// then lost, or everything.
+// Damage returns an error that describes the damage found when the store was opened, or nil. In case of damage, the
+// last change of the state is lost, or all stored data if no previous state could be used.
 func (s *Store) Damage() error { return s.damage }
 
-// InMemory reports whether nothing outlives the process.
+// InMemory reports whether all data are held in memory and lost when the process ends.
 func (s *Store) InMemory() bool { return s.folder == "" }
 
-// Close releases the store's lock.
+// Close releases the lock of the store.
 func (s *Store) Close() error {
 	if s.lock == nil {
 		return nil
@@ -106,7 +106,7 @@
 	return err
 }
 
-// Records returns all records, ordered by name.
+// Records returns all records, sorted by name.
 func (s *Store) Records() []verifiedmetadata.Record {
 	var records []verifiedmetadata.Record
 	for _, name := range slices.Sorted(maps.Keys(s.current.Records)) {
@@ -115,8 +115,8 @@
 	return records
 }
 
-// Put stores records, all of them or none; one without bytes is deleted. A version lower than the stored one is
-// refused with ErrRollback, unless the record allows it.
+// Put stores records atomically: all of them or none. A record with nil Bytes is deleted. Put returns ErrRollback if a
+// version is lower than the stored one and the record does not allow a rollback.
 func (s *Store) Put(records []verifiedmetadata.Record) error {
 	for _, record := range records {
 		stored, ok := s.current.Records[record.Name]
@@ -124,7 +124,7 @@
 			return fmt.Errorf("%s: %w", record.Name, ErrRollback)
 		}
 	}
-	return s.update(func(next *state) {
+	return s.updateState(func(next *state) {
 		for _, record := range records {
 			if record.Bytes == nil {
 				delete(next.Records, record.Name)
@@ -136,15 +136,16 @@
 	})
 }
 
-// update changes a copy of the state and makes it durable. On an error the state stays as it was.
-func (s *Store) update(change func(*state)) error {
+// updateState applies a change to a copy of the state and writes the copy to disk, unless the store is in memory. On an
+// error the state in use stays unchanged.
+func (s *Store) updateState(change func(*state)) error {
 	next := state{Records: maps.Clone(s.current.Records), Targets: maps.Clone(s.current.Targets)}
 	change(&next)
 	if !s.InMemory() {
 		if s.lock == nil {
 			return os.ErrClosed
 		}
-		if err := s.write(next); err != nil {
+		if err := s.writeState(next); err != nil {
 			return err
 		}
 	}
--- a/internal/store/target.go
+++ b/internal/store/target.go
@@ -13,9 +13,9 @@
 	"laurelring/internal/verifiedmetadata"
 )
 
-const maxMemoryBytes = 64 << 20 // of all targets together, without a folder
+const maxMemoryBytes = 64 << 20 // maximum total size of the targets of a store in memory
 
-// TargetWriter receives the contents of a target that is being fetched. Nothing of it is in the store before Commit.
+// TargetWriter receives the contents of a target that is being fetched. The store does not contain them before Commit.
 type TargetWriter struct {
 	store  *Store
 	path   string
@@ -23,8 +23,8 @@
 	memory *bytes.Buffer
 }
 
-// CreateTarget starts to write a target with a length in bytes. It returns ErrMemoryFull where a store in memory has
-// no room for it, and an error for a path that could leave the store's folder.
+// CreateTarget returns a writer for a target with a length in bytes. It returns ErrMemoryFull if a store in memory has
+// no room for the target, and an error if the path could point outside the store's folder.
 func (s *Store) CreateTarget(path string, length int64) (*TargetWriter, error) {
 	if !verifiedmetadata.IsSafePath(path) {
 		return nil, fmt.Errorf("%q leaves its folder", path)
@@ -42,10 +42,10 @@
 	return &TargetWriter{store: s, path: path, file: file}, nil
 }
 
-// Discard returns a writer that drops what is written, for targets that are only verified. It cannot be committed.
+// Discard returns a writer that discards all bytes, for targets that are only verified. It must not be committed.
 func Discard() *TargetWriter { return &TargetWriter{} }
 
-// Write appends bytes.
+// Write appends data to the target's contents.
 func (w *TargetWriter) Write(data []byte) (int, error) {
 	switch {
 	case w.memory != nil:
@@ -56,7 +56,7 @@
 	return len(data), nil
 }
 
-// Reset drops what was written, so that the target can be written from its start.
+// Reset discards all written bytes, so that the target can be written again from its start.
 func (w *TargetWriter) Reset() error {
 	if w.memory != nil {
 		w.memory.Reset()
@@ -69,7 +69,7 @@
 	return err
 }
 
-// Abort releases the writer and removes what was written. After Commit it does nothing.
+// Abort closes the writer and removes its unfinished file. After Commit it does nothing.
 func (w *TargetWriter) Abort() {
 	if w.file != nil {
 		w.file.Close()
@@ -78,13 +78,13 @@
 	}
 }
 
-// Commit puts the target in its place: readers find the previous contents or none before it, and all of the new ones
-// after it.
+// Commit replaces the target's contents atomically and adds the target to the state. Before, readers find the previous
+// contents or none, and afterwards all of the new contents.
 func (w *TargetWriter) Commit(target *verifiedmetadata.Target) error {
 	if w.memory != nil {
 		w.store.memoryBytes += w.memory.Len() - len(w.store.memoryTargets[w.path])
 		w.store.memoryTargets[w.path] = w.memory.Bytes()
-		return w.record(target)
+		return w.recordTarget(target)
 	}
 	defer w.Abort()
 	path := w.store.targetPath(w.path)
@@ -100,16 +100,17 @@
 	if err := syncFolder(filepath.Dir(path)); err != nil {
 		return err
 	}
-	return w.record(target)
+	return w.recordTarget(target)
 }
 
-// record adds the target to the state.
-func (w *TargetWriter) record(target *verifiedmetadata.Target) error {
-	return w.store.update(func(next *state) {
+// recordTarget adds the target to the state.
+func (w *TargetWriter) recordTarget(target *verifiedmetadata.Target) error {
+	return w.store.updateState(func(next *state) {
 		next.Targets[w.path] = fetchedTarget{Length: target.Length, Digest: digestOf(target)}
 	})
 }
 
+// digestOf returns the digest that is recorded for a target: SHA-256, or SHA-512 if the role lists no SHA-256 hash.
 func digestOf(target *verifiedmetadata.Target) []byte {
 	if digest := target.Hashes["sha256"]; digest != nil {
 		return digest
@@ -117,13 +118,13 @@
 	return target.Hashes["sha512"]
 }
 
-// targetPath returns the path of a target's file.
+// targetPath returns the file path of a target's contents.
 func (s *Store) targetPath(path string) string {
 	return filepath.Join(s.folder, targetsFolder, filepath.FromSlash(path))
 }
 
-// OpenTarget opens a fetched target. Its contents may have been altered on disk since: whoever uses them verifies them
-// again. It returns fs.ErrNotExist for a target that was not fetched.
+// OpenTarget opens the contents of a fetched target. They may have been altered on disk since, so callers must verify
+// them again before use. OpenTarget returns fs.ErrNotExist for a target that was not fetched.
 func (s *Store) OpenTarget(path string) (io.ReadCloser, error) {
 	if !verifiedmetadata.IsSafePath(path) {
 		return nil, fs.ErrNotExist
@@ -137,10 +138,10 @@
 	return os.Open(s.targetPath(path))
 }
 
-// RemoveTarget removes a target, first from the state: a kill in between leaves a file that is not listed, rather than
-// a listed target without a file.
+// RemoveTarget removes a target from the state and then deletes its contents. In this order, a kill in between leaves a
+// file that is not listed rather than a listed target without a file.
 func (s *Store) RemoveTarget(path string) error {
-	if err := s.update(func(next *state) { delete(next.Targets, path) }); err != nil {
+	if err := s.updateState(func(next *state) { delete(next.Targets, path) }); err != nil {
 		return err
 	}
 	if s.InMemory() {
@@ -151,5 +152,5 @@
 	return os.Remove(s.targetPath(path))
 }
 
-// TargetPaths returns the paths of the fetched targets, sorted.
+// TargetPaths returns the sorted paths of the fetched targets.
 func (s *Store) TargetPaths() []string { return slices.Sorted(maps.Keys(s.current.Targets)) }
