--- a/internal/verifiedmetadata/reason.go
+++ b/internal/verifiedmetadata/reason.go
@@ -7,7 +7,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Reason is the class of a refusal: why metadata or a target is not trusted.
+// Reason classifies why metadata or a target is not trusted.
 type Reason uint8
 
 // The reasons for a refusal. Their texts are used as metric labels and in the output of gatewayctl.
