--- a/decision/canary.go
+++ b/decision/canary.go
@@ -97,17 +97,17 @@
 }
 
 // withinCanaryShare reports whether a canary endpoint may get one more attempt within canaryShareFactor times its share
-// of the requests, by its power; a shortage of endpoints raises the limit. The limit applies even if the exposure cap
-// allows more: an endpoint that is slow because it is overloaded would count as evidence against its build.
-// stableInFlight and stableCapacity are the attempts in flight at the ready endpoints of stable builds and the power of
-// these endpoints.
+// of the requests, by its relative capacity. shortageFactor raises this limit while endpoints are missing. The limit
+// applies even if the exposure cap allows more: an endpoint that is slow because it is overloaded would count as
+// evidence against its build. stableInFlight and stableCapacity are the attempts in flight at the ready endpoints of
+// stable builds, and the total relative capacity of these endpoints.
 func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stableCapacity float64, now monotonic.Time) bool {
 	limitFactor := canaryShareFactor * lb.slowStart.shortageFactor
 	if !lb.withinBudget(limitFactor*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
 		return false
 	}
-	// An endpoint that was just listed gets no burst: for its power it may not have more attempts in flight than the
-	// stable endpoints.
+	// An endpoint that was just listed gets no burst: relative to its capacity, it may have no more attempts in flight
+	// than the stable endpoints, apart from the first attempt and the margin of limitFactor.
 	return stableCapacity == 0 || float64(len(endpoint.inFlight)) < 1+limitFactor*stableInFlight/stableCapacity*lb.relativeCapacity(endpoint)
 }
 
@@ -142,12 +142,12 @@
 	if status.Phase == PhaseRollingBack || status.Phase == PhaseRolledBack {
 		canary.stickyKeys.RolledBack(status.Build)
 	}
-	lb.beginCanary(status.Build, now)
+	lb.startEvaluation(status.Build, now)
 	rollout.statusReceived = true
 }
 
-// stableInFlight returns the number of attempts in flight at the ready endpoints of stable builds, and the total power
-// of these endpoints.
+// stableInFlight returns the number of attempts in flight at the ready endpoints of stable builds, and the total
+// relative capacity of these endpoints.
 func (lb *Balancer) stableInFlight() (inFlight, relativeCapacity float64) {
 	for _, endpoint := range lb.endpoints {
 		if endpoint.ready && !lb.isCanary(endpoint.build) {
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -121,11 +121,12 @@
 	if !cached {
 		lb.endpointList.polling.Succeeded()
 	}
-	lb.beginCanary(newestBuild, now)
+	lb.startEvaluation(newestBuild, now)
 }
 
 // updateFleetSize updates the largest fleet size seen with the ready endpoints, and returns the newest build among
-// them. Endpoints of a build under judgement do not count, as they replace others.
+// them. Endpoints of the build under evaluation or of a later one do not count towards the size, as they replace
+// others.
 func (lb *Balancer) updateFleetSize() (newestBuild int) {
 	relativeCapacity, endpoints := 0.0, 0
 	for _, endpoint := range lb.endpoints {
--- a/decision/endpointlist.go
+++ b/decision/endpointlist.go
@@ -120,6 +120,6 @@
 type endpointListState struct {
 	lease            discovery.Lease
 	polling          discovery.Pacing
-	maxFleetCapacity float64 // the largest relative capacity power of ready endpoints at any time, without canary endpoints
-	maxEndpoints     int     // the largest number of ready endpoints at any time, without canary endpoints
+	maxFleetCapacity float64 // largest total relative capacity of the ready endpoints so far, see updateFleetSize
+	maxEndpoints     int     // largest number of ready endpoints so far, see updateFleetSize
 }
--- a/decision/machinetype.go
+++ b/decision/machinetype.go
@@ -29,8 +29,8 @@
 }
 
 // observeRelativeLatency updates the relative latency of an endpoint with the latency of one answer, given as its ratio
-// to the mean latency of the op type. It also updates that of the machine type and of all types, unless a build under
-// judgement may have caused the latency.
+// to the mean latency of the op type. It also updates that of the machine type and of all types, unless the build under
+// evaluation may have caused the latency.
 func (lb *Balancer) observeRelativeLatency(endpoint *Endpoint, ratio float64) {
 	ratio = min(ratio, maxLatencySample)
 	endpoint.relativeLatency = smoothRelativeLatency(endpoint.relativeLatency, ratio, endpointLatencyGain)
--- a/decision/rollout.go
+++ b/decision/rollout.go
@@ -21,7 +21,7 @@
 // rolloutState is what this gateway knows of the build under evaluation, and the state of its own votes.
 type rolloutState struct {
 	settings       rolloutSettings
-	build          int            // the build under evaluation, 0 for none
+	build          int            // the build under evaluation until a later one is seen, 0 for none
 	buildSeenAt    monotonic.Time // when the build was first seen, in the endpoint list or in a rollout status
 	statusReceived bool           // a rollout status has arrived since this gateway started
 
@@ -71,9 +71,9 @@
 	}
 }
 
-// beginCanary starts the evaluation of a build when it is first seen. The build that the gateway starts with is not
-// evaluated.
-func (lb *Balancer) beginCanary(build int, now monotonic.Time) {
+// startEvaluation starts the evaluation of a canary build when it is first seen. The build that the gateway starts with
+// is not evaluated.
+func (lb *Balancer) startEvaluation(build int, now monotonic.Time) {
 	state := &lb.rollout
 	if lb.canary.build < 0 || build <= state.build || !lb.isCanary(build) {
 		return
@@ -83,7 +83,7 @@
 	}
 	lb.canary.stickyKeys.CanaryStarted()
 	state.build, state.buildSeenAt = build, now
-	state.peers.reports.Judge(build)
+	state.peers.reports.StartEvaluation(build)
 	state.evidence = newEvidenceState(len(lb.opTypes))
 	var costStart rollout.Table
 	if state.statusReceived { // this gateway ran before the build was seen, so it counts all busy time of the build
--- a/decision/rollout/counters.go
+++ b/decision/rollout/counters.go
@@ -1,7 +1,7 @@
 // Package rollout evaluates the evidence for and against a canary build: the attempts that all gateways have counted
 // at its endpoints and at those of earlier builds, and how busy the endpoints of both were. It also selects the
-// gateways that judge a build as voters, and keeps the latest totals that each gateway has reported. The package does
-// not handle individual endpoints, reads no clock, and uses no random numbers.
+// gateways that evaluate a build as voters, and keeps the latest totals that each gateway has reported. The package
+// does not handle individual endpoints, reads no clock, and uses no random numbers.
 package rollout
 
 import "slices"
@@ -26,7 +26,7 @@
 // Side is one side of the comparison.
 type Side int
 
-// Canary is the build being judged. Baseline is all earlier builds.
+// Canary is the build under evaluation. Baseline is all earlier builds.
 const (
 	Canary Side = iota
 	Baseline
--- a/decision/rollout/peers.go
+++ b/decision/rollout/peers.go
@@ -9,23 +9,23 @@
 	Counters  Table
 }
 
-// PeerReports holds the latest reports of the other gateways. A report on an earlier build than the one being judged
-// only shows that its sender is running. A report on a later build, which this gateway may not know yet, is stored
-// separately: it neither replaces its sender's report on the judged build nor prevents a later report on that build
-// from being counted.
+// PeerReports holds the latest reports of the other gateways. A report on an earlier build than the one under
+// evaluation only shows that its sender is running. A report on a later build, which this gateway may not know yet, is
+// stored separately: it neither replaces its sender's report on the build under evaluation nor prevents a later report
+// on that build from being counted.
 type PeerReports struct {
-	build   int // the build being judged, 0 for none
+	build   int // the build under evaluation, 0 for none
 	senders []senderReports
 }
 
 // senderReports holds the latest reports of one gateway.
 type senderReports struct {
-	current    *Report        // latest report on the build being judged, nil if none was received
+	current    *Report        // latest report on the build under evaluation, nil if none was received
 	laterBuild *Report        // latest report on a later build, nil if none was received since the current one
 	heardAt    monotonic.Time // when the latest report on any build was counted, 0 if there is none
 }
 
-// NewPeerReports returns a PeerReports for a fleet of gateways without any report and without a build being judged.
+// NewPeerReports returns a PeerReports for a fleet of gateways without any report and without a build under evaluation.
 func NewPeerReports(gateways int) PeerReports {
 	return PeerReports{senders: make([]senderReports, gateways)}
 }
@@ -33,8 +33,8 @@
 // Gateways returns the number of gateways in the fleet, including this one.
 func (p *PeerReports) Gateways() int { return len(p.senders) }
 
-// Judge makes a later build the one being judged. Reports on it that were received earlier count from now on.
-func (p *PeerReports) Judge(build int) {
+// StartEvaluation puts a later build under evaluation. Reports on it that were received earlier count from now on.
+func (p *PeerReports) StartEvaluation(build int) {
 	p.build = build
 	for rank := range p.senders {
 		sender := &p.senders[rank]
@@ -72,7 +72,7 @@
 	return previous, true
 }
 
-// AddTo adds the totals of all reports on the build being judged to a table.
+// AddTo adds the totals of all reports on the build under evaluation to a table.
 func (p *PeerReports) AddTo(sum Table) {
 	for rank := range p.senders {
 		if current := p.senders[rank].current; current != nil {
--- a/decision/rollout/voters.go
+++ b/decision/rollout/voters.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// minVoters is the number of gateways that judge a build unless more votes are required.
+	// minVoters is the number of gateways that evaluate a build unless more votes are required.
 	minVoters = 3
 	// maxPoolingVoters is the largest number of voters, one more than the required votes, that pool the evidence.
-	// Where more would be needed, minVoters gateways judge the build and the others follow their verdict.
+	// Where more would be needed, minVoters gateways evaluate the build and the others follow their verdict.
 	maxPoolingVoters = 5
 )
 
-// VoterCount returns the number of a fleet's gateways that judge a build. It is one more than the required votes, as
+// VoterCount returns the number of a fleet's gateways that evaluate a build. It is one more than the required votes, as
 // one voter may be unreachable, stopped or late, but it stays small for a fleet of any size. Without peer messages
-// every gateway judges for itself.
+// every gateway evaluates the build by its own evidence.
 func VoterCount(gateways, requiredVotes int, peerMessages bool) int {
 	count := max(minVoters, requiredVotes+1)
 	if !peerMessages {
@@ -28,7 +28,7 @@
 	return min(count, gateways)
 }
 
-// Voters selects the gateways that judge a build. Every gateway selects the same ones.
+// Voters selects the gateways that evaluate a build. Every gateway selects the same ones.
 type Voters struct {
 	gateways, count int
 
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -100,8 +100,8 @@
 	return float64(lb.slowStart.arrivals.CountAfter(now-span)) * relativeCapacity / max(lb.endpointList.maxFleetCapacity, relativeCapacity)
 }
 
-// learnFleetBaseline learns the usual throughput, busy time and request cost of the fleet, which slow start and the
-// verdict on a canary build are based on.
+// learnFleetBaseline learns the usual throughput, busy time and request cost of the fleet. Slow start uses the first,
+// and the evaluation of a canary build the others.
 func (lb *Balancer) learnFleetBaseline(now monotonic.Time) {
 	lb.learnUsualThroughput(now)
 	lb.recordBusyTime(now)
@@ -146,8 +146,8 @@
 	}
 }
 
-// baselineMostlyWarm reports whether at least half of the ready endpoints of builds before the one under judgement have
-// finished their slow start.
+// baselineMostlyWarm reports whether at least half of the ready endpoints of builds before the one under evaluation
+// have finished their slow start.
 func (lb *Balancer) baselineMostlyWarm(now monotonic.Time) bool {
 	warming, warm := 0, 0
 	for _, endpoint := range lb.endpoints {
