--- a/decision/vote.go
+++ b/decision/vote.go
@@ -14,9 +14,9 @@
 	// isolatedPromoteWait replaces promoteWait at an isolated gateway, which receives reports from too few other
 	// gateways.
 	isolatedPromoteWait = 6 * time.Second
-	// blindMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
+	// isolatedMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
 	// promotion.
-	blindMinLagShare = 0.05
+	isolatedMinLagShare = 0.05
 	// isolationDivisor: a voter is isolated if fewer than 1/isolationDivisor of the gateways, itself included, are
 	// reporting.
 	isolationDivisor = 3
@@ -87,7 +87,7 @@
 func (lb *Balancer) promotionVerdict(isolated bool, now monotonic.Time) Verdict {
 	state := &lb.rollout
 	wait := promoteWait
-	if isolated && state.settings.lagCost < blindMinLagShare*state.settings.harmCost {
+	if isolated && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if isolated {
 		wait = isolatedPromoteWait
