--- a/cmd/gateway/outage_test.go
+++ b/cmd/gateway/outage_test.go
@@ -100,9 +100,9 @@
 	return late
 }
 
-// Guards against issue 22: discovery is down while all endpoints are replaced, and returns without the capacity to
-// answer the whole fleet in time. No gateway starts an attempt to a draining endpoint once the draining counts as
-// received and the grace period is over, and gateways that have received the new list serve from it.
+// Guards against a fault found with issue 22: discovery is down while all endpoints are replaced, and returns without
+// the capacity to answer the whole fleet in time. No gateway starts an attempt to a draining endpoint once the draining
+// counts as received and the grace period is over, and gateways that have received the new list serve from it.
 func TestNoAttemptToDrainedEndpointAfterDiscoveryOutage(t *testing.T) {
 	for _, messages := range []bool{true, false} {
 		t.Run(fmt.Sprintf("messages between gateways %t", messages), func(t *testing.T) {
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -5,7 +5,7 @@
 )
 
 // Late answers of full endpoints must limit the attempts in flight at a gateway. Late answers of other endpoints must
-// not, as they may be caused by the path. Found on the day "overload" of the grown deployment rolls-east.
+// not, as they may be caused by the path. Found by the simulator benchmark, deployment rolls-east, day overload.
 func TestLateAnswersOfFullEndpointsNarrowTheWindow(t *testing.T) {
 	for _, utilization := range []float64{0.5, 1} {
 		gateway := withEndpoints(newFleetGateway(5, PromoteByQuorum, 0, 100, 30), 8)
--- a/decision/canary_test.go
+++ b/decision/canary_test.go
@@ -6,8 +6,8 @@
 	"laurelring/decision/exposure"
 )
 
-// An endpoint that was listed late got its whole unused budget of attempts at once. Seen in the simulation rolls-east,
-// day rough-1.
+// An endpoint that was listed late got its whole unused budget of attempts at once. Found by the simulator benchmark,
+// deployment rolls-east, day rough-1.
 func TestNewCanaryEndpointGetsNoBurst(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(3, PromoteByQuorum), 8)
 	for i := 0; i < 1000; i++ {
--- a/decision/endpointlist_test.go
+++ b/decision/endpointlist_test.go
@@ -26,9 +26,9 @@
 	return allowed
 }
 
-// Issue 22: a list that nothing confirms must lose its lease before its changes count as notified. After that only
-// endpoints that served an attempt lately get requests, each for the span of a lease after that attempt. A new
-// confirmation makes the other endpoints available again.
+// A list that nothing confirms must lose its lease before its changes count as notified. After that only endpoints that
+// served an attempt lately get requests, each for the span of a lease after that attempt. A new confirmation makes the
+// other endpoints available again. Found with issue 22.
 func TestUnconfirmedEndpointListExpires(t *testing.T) {
 	gateway := withLease(3)
 	begun := gateway.now
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -9,7 +9,7 @@
 )
 
 // A build that began to fail after its release was not rolled back, as thousands of earlier successful attempts
-// outweighed ten failures. Seen in the socket benchmark under heavy traffic.
+// outweighed ten failures. Found by the socket benchmark, under heavy traffic.
 func TestRejectsBuildThatBeginsToFailAfterItsRelease(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(9, PromoteByAnyVote), 8)
 	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Stage: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Incident i1e3b86: every gateway sees the same crash, but all of them together must count it about once.
+// Every gateway sees the same crash, but all of them together must count it about once (incident i1e3b86).
 func TestCrashCountsOnceAmongAllGateways(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(8, PromoteByAnyVote), 3)
 	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
@@ -95,7 +95,7 @@
 
 // Every gateway restarts, one after another, during the canary phase of a build that slows all endpoints. Restarted
 // gateways take over the baseline cost of a request from the voters' reports, and the totals that they had reported
-// before stay counted: the build is rejected, and a good build is not. From the standing test roll+mass.
+// before stay counted: the build is rejected, and a good build is not. Found by the simulator, scenario roll+mass.
 func TestEvidenceSurvivesGatewayRestarts(t *testing.T) {
 	for _, busy := range []float64{0.95, 0.5} {
 		fleet := newTestFleet(5, PromoteByAnyVote, 20, 10)
--- a/decision/paths_test.go
+++ b/decision/paths_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A zone from which answers come late or never must be avoided, and tried again after a while. Found on the day "big-1"
-// of the grown deployment rolls-east.
+// A zone from which answers come late or never must be avoided, and tried again after a while. Found by the simulator
+// benchmark, deployment rolls-east, day big-1.
 func TestZoneBehindSlowPathIsAvoided(t *testing.T) {
 	gateway := withEndpoints(newFleetGateway(6, PromoteByQuorum, 0, 100, 30), 8)
 	for _, endpoint := range gateway.endpoints[4:] {
@@ -36,8 +36,8 @@
 	}
 }
 
-// If few endpoints accept connections, the endpoints that responded must be preferred. Found on the day "big-2" of the
-// grown deployment lima-horarios.
+// If few endpoints accept connections, the endpoints that responded must be preferred. Found by the simulator
+// benchmark, deployment lima-horarios, day big-2.
 func TestPrefersEndpointsThatAcceptConnections(t *testing.T) {
 	gateway := withEndpoints(newFleetGateway(7, PromoteByQuorum, 0, 100, 30), 80)
 	sent := 0
--- a/decision/requestcost_test.go
+++ b/decision/requestcost_test.go
@@ -12,7 +12,7 @@
 // change the cost (incident ib4b670). A gateway that restarted during the canary phase has not counted the busy time
 // that belongs to its peers' totals, and compares both from the time it receives their reports (incident i70baa1). A
 // build that slows all endpoints raises the cost of the whole fleet (incident i673f1d). If only the baseline endpoints
-// slow down, as in run 25 of the socket benchmark, this is no evidence against the canary build.
+// slow down, this is no evidence against the canary build (found by the socket benchmark, run 25).
 func TestRejectsBuildWhoseRequestsCostMore(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -62,8 +62,8 @@
 }
 
 // Canary endpoints that became warm just before a report added the busy time of the whole interval, but only the few
-// attempts since they were warm, so good builds were rolled back. Seen in the socket benchmark: churn, long day and
-// reload.
+// attempts since they were warm, so good builds were rolled back. Found by the socket benchmark, scenarios churn, long
+// day and reload.
 func TestBusyTimeCountsOverWholeIntervals(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(3, PromoteByAnyVote), 8)
 	gateway.run(6*second, 0)
@@ -85,7 +85,7 @@
 }
 
 // The baseline cost of a request changed with the learned latency of the machine types, was taken from the first
-// seconds alone, and rose if endpoints were new. Seen in fleet runs 6, 9, 16 and 49 of the socket benchmark.
+// seconds alone, and rose if endpoints were new. Found by the socket benchmark, runs 6, 9, 16 and 49.
 func TestLearnsBaselineRequestCost(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(17, PromoteByAnyVote), 8)
 	busy := func(span time.Duration, busy float64) float64 {
@@ -121,7 +121,7 @@
 }
 
 // The last reported utilization of an endpoint that nobody reaches never changes, and must not be counted as busy time.
-// Seen in the simulation lima-horarios-later, day big-2.
+// Found by the simulator benchmark, deployment lima-horarios-later, day big-2.
 func TestIgnoresStaleUtilization(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(8, PromoteByAnyVote), 6)
 	gateway.balancer.RolloutChanged(RolloutStatus{Build: 2, Phase: PhaseCanary, ExposureCap: 1}, gateway.now)
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -5,8 +5,8 @@
 )
 
 // If all endpoints run the canary build and the healthy ones have used up their share, requests must be queued and not
-// go to suspect endpoints. Found on real sockets with damaged answers and a hang, where requests went to silent
-// endpoints.
+// go to suspect endpoints. They went to silent endpoints. Found by the socket benchmark, with damaged answers and a
+// hang.
 func TestSuspectEndpointsDoNotReplaceFullOnes(t *testing.T) {
 	gateway := withEndpoints(newTestGateway(8, PromoteByAnyVote), 0)
 	gateway.addEndpoints(8, 0, 2)
--- a/decision/silence_test.go
+++ b/decision/silence_test.go
@@ -5,7 +5,7 @@
 )
 
 // A gateway that sends an endpoint few attempts must not take a slow answer for silence, unless the voters consider the
-// endpoint an outlier. Found on the grown deployment rolls-east.
+// endpoint an outlier. Found by the simulator benchmark, deployment rolls-east.
 func TestSilenceCountsOnlyAfterSeveralAttempts(t *testing.T) {
 	for _, outlier := range []bool{false, true} {
 		gateway := withEndpoints(newFleetGateway(4, PromoteByQuorum, 0, 100, 30), 4)
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -5,7 +5,8 @@
 )
 
 // Each gateway used to round a budget below one attempt up, or to multiply it. A warming endpoint must get about its
-// share of the requests of all gateways together. Found on the day "big-1" of the grown deployment lima-horarios.
+// share of the requests of all gateways together. Found by the simulator benchmark, deployment lima-horarios, day
+// big-1.
 func TestFractionalBudgetsOfManyGatewaysAddUp(t *testing.T) {
 	fleet := newTestFleet(3, PromoteByAnyVote, 60, 9)
 	fleet.run(6*second, 1)
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -61,8 +61,8 @@
 }
 
 // A crash during a stage whose endpoints had all been listed delayed the promotion until the endpoints had restarted
-// and were 3 s old. By then the rollout controller had rolled back a good build. Seen in fleet runs 32, 37 and 53 of
-// the socket benchmark.
+// and were 3 s old. By then the rollout controller had rolled back a good build. Found by the socket benchmark, runs
+// 32, 37 and 53.
 func TestCrashDoesNotDelayPromotion(t *testing.T) {
 	for _, listed := range []int{2, 1} { // of the stage's two endpoints
 		gateway := newFleetGateway(5, PromoteByAnyVote, 0, 1, 1)
--- a/decision/voters_test.go
+++ b/decision/voters_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// 360 voters each received the reports of 600 gateways. In a large fleet only a few voters evaluate the build and the
-// other gateways follow them. No gateway votes to promote before 3 s, or to roll back a good build. Seen in the
-// simulation rolls-east-later.
+// In a large fleet only a few voters evaluate the build, and the other gateways follow them. Without followers, 360
+// voters each received the reports of 600 gateways. No gateway votes to promote before 3 s, or to roll back a good
+// build. Found by the simulator benchmark, deployment rolls-east-later.
 func TestFleetFollowsAFewVoters(t *testing.T) {
 	for _, fails := range []int{0, 60} {
 		fleet := newTestFleet(1, PromoteByQuorum, 60, 10)
@@ -28,7 +28,7 @@
 }
 
 // While all messages are lost, no gateway finds that a build is slow, and none promotes it if the harm cost is much
-// higher than the lag cost. Seen in the simulation lima-horarios-later, day rough-2.
+// higher than the lag cost. Found by the simulator benchmark, deployment lima-horarios-later, day rough-2.
 func TestLostMessagesDelayPromotion(t *testing.T) {
 	for _, harm := range []float64{8, 2} {
 		fleet := newTestFleet(2, PromoteByQuorum, 40, 10)
--- a/internal/transport/client_server_test.go
+++ b/internal/transport/client_server_test.go
@@ -81,8 +81,8 @@
 }
 
 // Guards against the loss of a complete request that arrives during an orderly close of its connection, as the client
-// could not know that the request was not read (socket bench, 64 and 100 descriptors). A reset proves that, but must
-// not overtake a response.
+// could not know that the request was not read. A reset proves that, but must not overtake a response. Found by the
+// socket benchmark, with 64 and 100 descriptors.
 func TestResetsIdleConnectionUnlessResponseIsUnacknowledged(t *testing.T) {
 	for _, unacknowledged := range []bool{false, true} {
 		server := newTestServer(t, 4, nil, nil)
@@ -140,8 +140,8 @@
 }
 
 // Guards against clients that send one request and keep their connections open. They held all descriptors for clients,
-// and eight in ten requests found no connection (socket bench, a recorded day). Beyond idleConnectionShare the
-// connections idle longest are closed, busy connections never.
+// and eight in ten requests found no connection. Beyond idleConnectionShare the connections idle longest are closed,
+// busy connections never. Found by the socket benchmark, on a recorded day.
 func TestClosesLongestIdleConnectionsBeyondShare(t *testing.T) {
 	server := newTestServer(t, 40, nil, nil)
 	var all []*clientConnection
@@ -221,9 +221,9 @@
 
 // Guards against new connections whose requests were never answered while many clients held all descriptors. A
 // connection beyond the descriptor limit was closed as soon as the next one arrived, although its first request was in
-// the socket. The client retries such a request once, on another new connection, which was closed the same way.
-// TestSoak found this with 300 connections at once, seed 18: 336 requests without a response, both of whose connections
-// were reset within 20 ms.
+// the socket. The client retries such a request once, on another new connection, which was closed the same way. Found
+// by TestSoak with 300 connections at once, seed 18: 336 requests without a response, both of whose connections were
+// reset within 20 ms.
 func TestConnectionsBeyondDescriptorLimitAreAnswered(t *testing.T) {
 	const clients = 200
 	server := newTestServer(t, 20, nil, nil)
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a response that stalls halfway. Together with a poll without a response it delayed the list for 12 s
-// while all endpoints were replaced (socket bench, malformed responses and a recorded day).
+// while all endpoints were replaced. Found by the socket benchmark, with malformed responses and on a recorded day.
 func TestPollFailsWhenResponseStallsHalfway(t *testing.T) {
 	const list = `{"revision":1,"members":[]}`
 	waits := make(chan string, 9)
@@ -240,8 +240,8 @@
 }
 
 // An overloaded discovery refuses polls after a delay. The next polls must request no more than before: when a fleet
-// requested full lists instead, it doubled the polls and fewer were served (scenarios herd+mass and disco+mass of the
-// simulator).
+// requested full lists instead, it doubled the polls and fewer were served. Found by the simulator, scenarios herd+mass
+// and disco+mass.
 func TestPollsFromHeldRevisionAfterLateRefusal(t *testing.T) {
 	polled := make(chan string, 9)
 	server := newDiscoveryServer(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/transport/endpoint_pool_test.go
+++ b/internal/transport/endpoint_pool_test.go
@@ -281,7 +281,8 @@
 }
 
 // Guards against a busy loop of the reader when an attempt takes a connection at the moment of its idle timeout. The
-// attempt's goroutine never ran, and the gateway answered no further requests (scenario calm+mass of the simulator).
+// attempt's goroutine never ran, and the gateway answered no further requests. Found by the simulator, scenario
+// calm+mass.
 func TestReaderDoesNotSpinWhenAttemptTakesConnectionAtIdleTimeout(t *testing.T) {
 	pool := newTestPool(t, time.Second)
 	c, endpoint, _ := connectUnread(t, pool)
