--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -16,19 +16,19 @@
 // commandLine holds the arguments that kong parses. Kong derives the names of commands and flags from its field names.
 type commandLine struct {
 	Tuf struct {
-		File    string `help:"The operator's file." default:"deploy/trust.json" type:"path"`
-		JSON    bool   `help:"Answer in JSON, for programs." name:"json"`
+		File    string `help:"The operator's configuration file." default:"deploy/trust.json" type:"path"`
+		JSON    bool   `help:"Print the result as JSON." name:"json"`
 		Metrics string `help:"Write metrics to this file at the end." type:"path"`
 
-		Refresh struct{} `cmd:"" help:"Bring the metadata up to date."`
+		Refresh struct{} `cmd:"" help:"Refresh the metadata from the mirrors."`
 		Fetch   struct {
-			Name string `arg:"" help:"The target's path."`
-		} `cmd:"" help:"Fetch a target into the store, whole and trusted, or not at all."`
-		Status struct{} `cmd:"" help:"Tell what is trusted, and how the mirrors and the store are."`
+			Name string `arg:"" help:"Path of the target."`
+		} `cmd:"" help:"Fetch a target and store it once it is complete and verified."`
+		Status struct{} `cmd:"" help:"Show the trusted metadata, the mirrors and the store."`
 		Verify struct {
-			Name string `arg:"" optional:"" help:"The target's path; all that were fetched without it."`
-		} `cmd:"" help:"Hold what was fetched against what is listed now."`
-	} `cmd:"" help:"What the release desk has signed."`
+			Name string `arg:"" optional:"" help:"Path of the target. Default: all fetched targets."`
+		} `cmd:"" help:"Verify fetched targets against the trusted metadata."`
+	} `cmd:"" help:"Signed metadata and targets (TUF)."`
 }
 
 // The names of the commands, as kong reports them.
@@ -75,7 +75,7 @@
 	}
 	parser, err := kong.New(line,
 		kong.Name("gatewayctl"),
-		kong.Description("The operator's command line of laurelring."),
+		kong.Description("Command-line tool for operators of laurelring."),
 		kong.Writers(out, errorOut),
 		kong.Help(printHelp))
 	if err != nil {
--- a/cmd/gatewayctl/output_test.go
+++ b/cmd/gatewayctl/output_test.go
@@ -16,7 +16,8 @@
 	recordedOutput = "testdata/output-88d4011.txt"
 )
 
-// The text and JSON output and the exit statuses are the same as those of commit 88d4011 for the same stored state.
+// The text and JSON output and the exit statuses are those recorded at commit 88d4011 for the same stored state. Only
+// the help texts in the recorded file have been reworded since.
 func TestOutputIsThatOfEarlierVersion(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(storeFixture)); err != nil {
