--- a/decision/admission/window.go
+++ b/decision/admission/window.go
@@ -61,7 +61,7 @@
 // NewConcurrencyWindow returns a window of unlimited size. The first call of Allows reduces it to the ceiling.
 func NewConcurrencyWindow() ConcurrencyWindow { return ConcurrencyWindow{size: math.Inf(1)} }
 
-// Demand is the present request rate and the latency figures of the request for which an attempt is to start.
+// Demand is the current request rate and the latency figures of the request for which an attempt is to start.
 type Demand struct {
 	RequestsPerSecond float64
 	LatencyObjective  time.Duration
@@ -69,7 +69,7 @@
 }
 
 // Allows reports whether one more attempt may start. The ceiling of the window is the number of attempts that would
-// be in flight at the present request rate if each took twice its latency objective. The window is smaller than that
+// be in flight at the current request rate if each took twice its latency objective. The window is smaller than that
 // once full endpoints have answered late.
 func (w *ConcurrencyWindow) Allows(demand Demand, now monotonic.Time) bool {
 	ceiling := objectivesInFlight * demand.RequestsPerSecond * float64(demand.LatencyObjective) / float64(time.Second)
--- a/decision/canary.go
+++ b/decision/canary.go
@@ -97,10 +97,10 @@
 }
 
 // withinCanaryShare reports whether a canary endpoint may get one more attempt within canaryShareFactor times its share
-// of the requests, by its relative capacity. shortageFactor raises this limit while endpoints are missing. The limit
-// applies even if the exposure cap allows more: an endpoint that is slow because it is overloaded would count as
-// evidence against its build. stableInFlight and stableCapacity are the attempts in flight at the ready endpoints of
-// stable builds, and the total relative capacity of these endpoints.
+// of the requests, by its relative capacity. shortageFactor raises this limit while other endpoints are missing or
+// warming up. The limit applies even if the exposure cap allows more: an endpoint that is slow because it is overloaded
+// would count as evidence against its build. stableInFlight and stableCapacity are the attempts in flight at the ready
+// endpoints of stable builds, and the total relative capacity of these endpoints.
 func (lb *Balancer) withinCanaryShare(endpoint *Endpoint, stableInFlight, stableCapacity float64, now monotonic.Time) bool {
 	limitFactor := canaryShareFactor * lb.slowStart.shortageFactor
 	if !lb.withinBudget(limitFactor*lb.requestShare(endpoint, canaryShareSpan, now), endpoint, canaryShareSpan, now) {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -4,4 +4,9 @@
 //
 // Balancer combines these decisions. A request passes through Admit and Route, FinishAttempt receives the outcome of
 // each attempt, and Tick returns all other work that is due.
+//
+// Parts that do not handle individual endpoints have packages of their own: admission has the queue of requests and the
+// limit of attempts in flight, discovery the lease on the endpoint list and the polls of discovery, exposure the limits
+// of attempts at canary builds, and rollout the comparison of a canary build with the builds before it. Package gossip,
+// which the caller of Balancer uses beside it, exchanges views of the endpoint list between gateways.
 package decision
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -168,7 +168,7 @@
 	return sum
 }
 
-// evidence returns the strength of the evidence against the build under evaluation.
+// evidence returns the current evidence against the build under evaluation.
 func (lb *Balancer) evidence() rollout.Evidence {
 	state := &lb.rollout
 	pooled := lb.pooledCounters()
--- a/decision/evidencereport.go
+++ b/decision/evidencereport.go
@@ -34,7 +34,7 @@
 	reports           rollout.PeerReports
 	reportingPeers    int            // number of peers that have reported within evidenceTTL
 	tooFewReporting   bool           // reportingPeers is too small to compare costs
-	tooFewReportingAt monotonic.Time // when that was last so, or this gateway was last no voter
+	tooFewReportingAt monotonic.Time // when tooFewReporting was last true, or when this gateway was last not a voter
 	nextReportAt      monotonic.Time // when this gateway's own report is due
 }
 
--- a/decision/exposure/stickykeys.go
+++ b/decision/exposure/stickykeys.go
@@ -22,7 +22,7 @@
 }
 
 // RecordRequest counts a request with a key. All counts are reset once more than maxCountedKeys keys are counted, as
-// old counts say little about the present load.
+// old counts say little about the current load.
 func (s *StickyKeys) RecordRequest(key uint64, canaryBuild int) {
 	if s == nil || key == 0 {
 		return
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// FuzzRules runs seeded random histories against one gateway and checks the five rules after every step.
+// FuzzRules runs seeded random histories against one gateway and checks the rules of testGateway at every step, and
+// that each request gets its final answer in time.
 func FuzzRules(f *testing.F) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		f.Add(seed)
@@ -103,8 +104,8 @@
 	}
 }
 
-// FuzzFleet runs seeded random histories of forty gateways with few requests each, and checks the rules after every
-// step.
+// FuzzFleet runs seeded random histories of forty gateways with few requests each, and checks the rules of testGateway
+// and testFleet at every step.
 func FuzzFleet(f *testing.F) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		f.Add(seed)
--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -90,7 +90,7 @@
 	return len(s.recentQueriers) >= broadcastThreshold
 }
 
-// scheduleBroadcast schedules a reply to all gateways, or extends the pending one to cover the present query.
+// scheduleBroadcast schedules a reply to all gateways, or extends the pending one to cover the current query.
 func (e *Exchange) scheduleBroadcast(includeReady bool, now monotonic.Time) {
 	if e.replies.broadcast == nil {
 		e.replies.broadcast = &pendingReply{to: AllGateways, dueAt: now + e.randomDelay(maxReplyDelay)}
--- a/decision/messages.go
+++ b/decision/messages.go
@@ -123,7 +123,7 @@
 type Observation struct {
 	Endpoint          *Endpoint
 	Utilization       float64 // utilization that the endpoint reported, below 0 if it reported none
-	Successes, Losses int
+	Successes, Losses int     // numbers of attempts, see endpointResults
 }
 
 // VoterReport is what a voter concludes from the pooled evidence, as sent to the gateways that follow its verdict.
--- a/decision/monotonic/monotonic.go
+++ b/decision/monotonic/monotonic.go
@@ -1,5 +1,5 @@
 // Package monotonic defines the type of times on a gateway's monotonic clock. The decision packages do not read a
-// clock: the caller passes the present time, which never goes back, even when the wall clock does.
+// clock: the caller passes the current time, which never goes back, even when the wall clock does.
 package monotonic
 
 import "time"
--- a/decision/outliers.go
+++ b/decision/outliers.go
@@ -16,8 +16,9 @@
 	minResultsForRates = 0.5             // decayed number of results below which an endpoint's rates are not used
 )
 
-// endpointResults holds the answered and lost attempts of all gateways at an endpoint, as far as this gateway knows
-// them.
+// endpointResults holds the successful and lost attempts of all gateways at an endpoint, as far as this gateway knows
+// them. An attempt is lost if it ends with an error, a timeout, a failed or lost connection or a cancellation, and as
+// soon as it is overdue.
 type endpointResults struct {
 	decayedSuccesses, decayedLosses float64 // as of decayedAt
 	decayedAt                       monotonic.Time
@@ -32,7 +33,7 @@
 	endpoint.decayedAt = now
 }
 
-// recordOwnResults counts attempts of this gateway, and adds them to its next report to the voters.
+// recordOwnResults counts attempts of this gateway, and adds them to its next evidence report.
 func (endpoint *Endpoint) recordOwnResults(successes, losses int, now monotonic.Time) {
 	endpoint.recordResults(successes, losses, now)
 	endpoint.unreported.successes += successes
--- a/decision/requestcost.go
+++ b/decision/requestcost.go
@@ -52,7 +52,7 @@
 }
 
 // learnFleetCost updates the cost of a request before the build while no endpoint runs the build under evaluation, and
-// compares the fleet's present cost with it after that. mature reports whether most baseline endpoints have finished
+// compares the fleet's current cost with it after that. mature reports whether most baseline endpoints have finished
 // their slow start: a fleet that has just been replaced still works off a backlog. Only voters receive reports of
 // enough gateways to measure costs.
 func (lb *Balancer) learnFleetCost(mature bool, now monotonic.Time) {
--- a/decision/rollbackcase.go
+++ b/decision/rollbackcase.go
@@ -24,7 +24,7 @@
 	belowThresholdAt monotonic.Time // when the evidence was last below the threshold
 }
 
-// update evaluates the present evidence. Once met, the condition stays met, except if a timer promotes and the evidence
+// update evaluates the current evidence. Once met, the condition stays met, except if a timer promotes and the evidence
 // has fallen below timerHoldLevel. Once few baseline endpoints remain, evidence by failures must stay above the
 // threshold for rollbackConditionHold, whereas evidence by cost counts at once. This guards against single endpoints
 // that begin to fail after a release, until they are found to be outliers. It delays the rollback of a build that does
--- a/decision/rules.go
+++ b/decision/rules.go
@@ -4,7 +4,8 @@
 	"laurelring/decision/monotonic"
 )
 
-// mayAttempt reports whether an attempt satisfies all rules, as far as this gateway knows.
+// mayAttempt reports whether an attempt satisfies all rules, as far as this gateway knows: the request may have one
+// more attempt, the endpoint is usable, no effect is repeated, and the exposure cap and slow start allow it.
 func (lb *Balancer) mayAttempt(request *Request, endpoint *Endpoint, now monotonic.Time) bool {
 	return lb.requestMayBeAttempted(request, now) && lb.endpointUsable(endpoint, now) &&
 		lb.repeatAllowed(request, endpoint, now) &&
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// warmUpCapacity returns the share of its full capacity that an endpoint of an age has at least.
+// warmUpCapacity returns the least share of its full capacity that an endpoint has at an age.
 func (s *slowStartState) warmUpCapacity(age time.Duration) float64 {
 	return s.initialCapacity + (1-s.initialCapacity)*max(0, min(1, float64(age)/float64(max(s.warmUp, 1))))
 }
--- a/decision/testfleet_test.go
+++ b/decision/testfleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// testFleet simulates a fleet of gateways with the same endpoints. Each gateway has its own Endpoint objects,
-// and messages between gateways may be lost.
+// testFleet simulates a fleet of gateways with the same endpoints. Each gateway has its own Endpoint objects, and
+// messages between gateways may be lost. It checks that all gateways together do not overload a warming endpoint.
 type testFleet struct {
 	gateways           []*testGateway
 	now                time.Duration
--- a/decision/testgateway_test.go
+++ b/decision/testgateway_test.go
@@ -9,8 +9,9 @@
 	"laurelring/decision/rollout"
 )
 
-// testGateway drives one balancer and checks the rules on its decisions, based on its own records of requests and
-// attempts.
+// testGateway drives one balancer and checks its decisions by its own records of requests and attempts. It checks the
+// main rules of Balancer.mayAttempt, and that a request that is not idempotent is rejected only if it cannot have
+// executed.
 type testGateway struct {
 	balancer           *Balancer
 	now                time.Duration
@@ -101,7 +102,7 @@
 	return request
 }
 
-// apply carries out a decision and checks the five rules on it.
+// apply carries out a decision and checks the rules on it.
 func (gateway *testGateway) apply(request *Request, d Decision) {
 	gateway.lastDecision = d
 	switch d.Action {
@@ -176,8 +177,8 @@
 	}
 }
 
-// run simulates a span of time with a request every 5 ms. Of the four newest endpoints, the first ones, as many as
-// outliers says, fail two thirds of their attempts.
+// run simulates a span of time with a request every 5 ms. Of the four newest endpoints, the first ones, in the number
+// given by outliers, fail two thirds of their attempts.
 func (gateway *testGateway) run(span time.Duration, outliers int) {
 	failing := map[*Endpoint]bool{}
 	for i := len(gateway.endpoints) - 4; i < len(gateway.endpoints)-4+outliers; i++ {
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -37,7 +37,7 @@
 	uncertainRetryJitter = 400 * time.Millisecond
 )
 
-// stageState is the state of the present stage.
+// stageState is the state of the current stage.
 type stageState struct {
 	startedAt      monotonic.Time // when the stage began: when this gateway was notified of it, less its age then
 	listed         bool           // all endpoints of the stage are or were listed
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -30,7 +30,7 @@
 func (lb *Balancer) voters(build int) []int { return lb.rollout.voters.selection.On(build) }
 
 // followedVerdict returns the verdict that the voters last reported: a rollback if any voter reports one, else a
-// promotion if a voter reports one for the present stage. Following voters allows fleets that are too large for every
+// promotion if a voter reports one for the current stage. Following voters allows fleets that are too large for every
 // gateway to receive all others' reports; the cost is that one faulty voter decides for the whole fleet. heard reports
 // whether any voter's report is recent enough.
 func (lb *Balancer) followedVerdict(now monotonic.Time) (verdict Verdict, heard bool) {
@@ -114,8 +114,8 @@
 }
 
 // store keeps a report if it is its sender's latest on the newest known build, or its latest on any later build. So at
-// most two reports of each voter are kept, and a report on a build that nobody else knows does not replace the report
-// on the present build.
+// most two reports of each voter are kept, and a report on a later build that nobody else knows does not replace the
+// report on the newest known build.
 func (v *voterState) store(report *VoterReport, newest int) {
 	v.reports = slices.DeleteFunc(v.reports, func(previous *VoterReport) bool {
 		return previous.Sender == report.Sender && previous.Build < newest
