--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -16,7 +16,7 @@
 	broadcastWindow    = time.Second
 	// minAgeGain is the minimum difference in age for which a reply with the same revision is sent.
 	minAgeGain = 300 * time.Millisecond
-	// replyReuseSpan is how long before a query a reply may have been heard to make a further one unnecessary.
+	// replyReuseSpan is how long before a query a reply may have been received to make a further one unnecessary.
 	replyReuseSpan = 300 * time.Millisecond
 )
 
--- a/decision/rollout/peers.go
+++ b/decision/rollout/peers.go
@@ -20,9 +20,9 @@
 
 // senderReports holds the latest reports of one gateway.
 type senderReports struct {
-	current    *Report        // latest report on the build under evaluation, nil if none was received
-	laterBuild *Report        // latest report on a later build, nil if none was received since the current one
-	heardAt    monotonic.Time // when the latest report on any build was counted, 0 if there is none
+	current         *Report        // latest report on the build under evaluation, nil if none was received
+	laterBuild      *Report        // latest report on a later build, nil if none was received since the current one
+	latestCountedAt monotonic.Time // when the latest report on any build was counted, 0 if there is none
 }
 
 // NewPeerReports returns a PeerReports for a fleet of gateways without any report and without a build under evaluation.
@@ -53,7 +53,7 @@
 func (p *PeerReports) Accept(rank int, report *Report) (previous *Report, accepted bool) {
 	sender := &p.senders[rank]
 	if report.Build < p.build {
-		sender.heardAt = max(sender.heardAt, report.CountedAt)
+		sender.latestCountedAt = max(sender.latestCountedAt, report.CountedAt)
 		return sender.current, false
 	}
 	latest := &sender.current
@@ -68,7 +68,7 @@
 	if latest == &sender.current && sender.laterBuild != nil && sender.laterBuild.CountedAt < report.CountedAt {
 		sender.laterBuild = nil
 	}
-	sender.heardAt = max(sender.heardAt, report.CountedAt)
+	sender.latestCountedAt = max(sender.latestCountedAt, report.CountedAt)
 	return previous, true
 }
 
@@ -85,7 +85,7 @@
 func (p *PeerReports) ReportingSince(after monotonic.Time) int {
 	n := 0
 	for rank := range p.senders {
-		if sender := &p.senders[rank]; sender.heardAt != 0 && sender.heardAt > after {
+		if sender := &p.senders[rank]; sender.latestCountedAt != 0 && sender.latestCountedAt > after {
 			n++
 		}
 	}
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -64,7 +64,7 @@
 	}
 	isolated := state.settings.peerMessages && isolationDivisor*(state.peers.reportingPeers+1) < lb.gateways
 	if !slices.Contains(lb.voters(state.build), lb.rank) {
-		if verdict, heard := lb.followedVerdict(now); heard {
+		if verdict, followed := lb.followedVerdict(now); followed {
 			return verdict
 		}
 		// A gateway that receives no voter's report evaluates its own evidence. If many votes are required, it is
--- a/decision/voters.go
+++ b/decision/voters.go
@@ -31,14 +31,14 @@
 
 // followedVerdict returns the verdict that the voters last reported: a rollback if any voter reports one, else a
 // promotion if a voter reports one for the current stage. Following voters allows fleets that are too large for every
-// gateway to receive all others' reports; the cost is that one faulty voter decides for the whole fleet. heard reports
-// whether any voter's report is recent enough.
-func (lb *Balancer) followedVerdict(now monotonic.Time) (verdict Verdict, heard bool) {
+// gateway to receive all others' reports. The cost is that one faulty voter decides for the whole fleet. followed
+// reports whether any voter's report is recent enough to be followed.
+func (lb *Balancer) followedVerdict(now monotonic.Time) (verdict Verdict, followed bool) {
 	for _, report := range lb.rollout.voters.reports {
 		if report.Build != lb.canary.build || now-report.receivedAt > voterReportTTL {
 			continue
 		}
-		heard = true
+		followed = true
 		if report.Verdict == VerdictRollBack {
 			return VerdictRollBack, true
 		}
@@ -46,7 +46,7 @@
 			verdict = VerdictPromote
 		}
 	}
-	return verdict, heard
+	return verdict, followed
 }
 
 // reportAndVote sends this gateway's totals to the voters, evaluates the build, casts a vote, and reports to the other
