--- a/decision/gossip/replies.go
+++ b/decision/gossip/replies.go
@@ -16,7 +16,7 @@
 	broadcastWindow    = time.Second
 	// minAgeGain is the minimum difference in age for which a reply with the same revision is sent.
 	minAgeGain = 300 * time.Millisecond
-	// replyReuseSpan is how long before a query a reply may have been heard to make a further one unnecessary.
+	// replyReuseSpan is how long before a query a reply may have been received to make a further one unnecessary.
 	replyReuseSpan = 300 * time.Millisecond
 )
 
@@ -90,7 +90,7 @@
 	return len(s.recentQueriers) >= broadcastThreshold
 }
 
-// scheduleBroadcast schedules a reply to all gateways, or extends the pending one to cover the present query.
+// scheduleBroadcast schedules a reply to all gateways, or extends the pending one to cover the current query.
 func (e *Exchange) scheduleBroadcast(includeReady bool, now monotonic.Time) {
 	if e.replies.broadcast == nil {
 		e.replies.broadcast = &pendingReply{to: AllGateways, dueAt: now + e.randomDelay(maxReplyDelay)}
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -14,9 +14,9 @@
 	// isolatedPromoteWait replaces promoteWait at an isolated gateway, which receives reports from too few other
 	// gateways.
 	isolatedPromoteWait = 6 * time.Second
-	// blindMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
+	// isolatedMinLagShare is the least lag cost, as a share of the harm cost, at which an isolated gateway votes a
 	// promotion.
-	blindMinLagShare = 0.05
+	isolatedMinLagShare = 0.05
 	// isolationDivisor: a voter is isolated if fewer than 1/isolationDivisor of the gateways, itself included, are
 	// reporting.
 	isolationDivisor = 3
@@ -37,7 +37,7 @@
 	uncertainRetryJitter = 400 * time.Millisecond
 )
 
-// stageState is the state of the present stage.
+// stageState is the state of the current stage.
 type stageState struct {
 	startedAt      monotonic.Time // when the stage began: when this gateway was notified of it, less its age then
 	listed         bool           // all endpoints of the stage are or were listed
@@ -64,7 +64,7 @@
 	}
 	isolated := state.settings.peerMessages && isolationDivisor*(state.peers.reportingPeers+1) < lb.gateways
 	if !slices.Contains(lb.voters(state.build), lb.rank) {
-		if verdict, heard := lb.followedVerdict(now); heard {
+		if verdict, followed := lb.followedVerdict(now); followed {
 			return verdict
 		}
 		// A gateway that receives no voter's report evaluates its own evidence. If many votes are required, it is
@@ -87,7 +87,7 @@
 func (lb *Balancer) promotionVerdict(isolated bool, now monotonic.Time) Verdict {
 	state := &lb.rollout
 	wait := promoteWait
-	if isolated && state.settings.lagCost < blindMinLagShare*state.settings.harmCost {
+	if isolated && state.settings.lagCost < isolatedMinLagShare*state.settings.harmCost {
 		return VerdictNone
 	} else if isolated {
 		wait = isolatedPromoteWait
