--- a/cmd/gateway/shutdown_test.go
+++ b/cmd/gateway/shutdown_test.go
@@ -42,8 +42,9 @@
 	gateway.awaitShutdown(shutdownLimit)
 }
 
-// Two SIGTERMs arrive while one connection has sent part of a second request and another part of its first request.
-// Both requests are answered, and then their connections are closed.
+// SIGTERM arrives twice. At the first one, a connection has sent part of its second request. Another connection sends
+// its first request in pieces, one after the first SIGTERM and one after the second. Both requests are answered, and
+// then their connections are closed.
 func TestShutdownAnswersPartialRequests(t *testing.T) {
 	gateway := startGateway(t, 1024)
 	half := gateway.dial()
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -27,7 +27,8 @@
 	Withhold() bool
 	// Proceed allows an attempt that has called Connected to be sent. The given time replaces DecidedAt.
 	Proceed(decidedAt monotonic.Time)
-	// ConnectedAt returns the time, by the router's clock, at which the connection of the attempt was established.
+	// ConnectedAt returns the time, by the router's clock, at which the connection was established on which the attempt
+	// was sent.
 	ConnectedAt() monotonic.Time
 }
 
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -81,8 +81,8 @@
 }
 
 // Cancel finishes an attempt without an outcome. If the attempt has started, its connection is closed before Cancel
-// returns, so that a retry at another endpoint does not run alongside it. Otherwise the connection is kept for other
-// attempts. reachedEndpoint is true if the endpoint may have received the request. alreadyFinished is true if the
+// returns, so that a retry at another endpoint is not a second copy in flight. Otherwise the connection is kept for
+// other attempts. reachedEndpoint is true if the endpoint may have received the request. alreadyFinished is true if the
 // attempt had finished before: its outcome is then delivered through Finished.
 func (a *Attempt) Cancel() (reachedEndpoint, alreadyFinished bool) {
 	a.mu.Lock()
--- a/internal/transport/client_server.go
+++ b/internal/transport/client_server.go
@@ -37,7 +37,7 @@
 	maxRemaining time.Duration
 	overflow     chan struct{} // holds one element for each connection beyond the descriptor limit
 	shortage     *slotShortage
-	maxIdle      int // how many connections that have sent a request may stay open
+	maxIdle      int // above this number of connections that have sent a request, idle ones are closed
 	opTypes      map[string]*decision.OpType
 	onRequest    func(request protocol.Request, response *PendingResponse)
 	onDisconnect func(response *PendingResponse)
--- a/internal/transport/client_session.go
+++ b/internal/transport/client_session.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// enqueueResponse adds the response to a request to the writer's queue. It blocks while the pending requests of all
-// connections exceed the memory limit. Writing responses frees memory.
+// enqueueResponse adds the response to a request to the writer's queue. It blocks while the request, together with the
+// pending requests of all connections, would exceed the memory limit. Writing responses frees memory.
 func (s *clientSession) enqueueResponse(requestBytes int) *PendingResponse {
 	response := newPendingResponse(requestBytes)
 	available := s.connection.server.requestBytes
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -79,7 +79,7 @@
 	case c.MaxWait < 0:
 		return errors.New("discovery client wait must not be negative")
 	case c.OnListStart == nil || c.OnList == nil || c.OnFailure == nil:
-		return errors.New("discovery client needs its callbacks")
+		return errors.New("discovery client needs the callbacks OnListStart, OnList and OnFailure")
 	}
 	return nil
 }
--- a/internal/transport/rollout_client.go
+++ b/internal/transport/rollout_client.go
@@ -70,7 +70,7 @@
 	case c.VoteTimeout < 0:
 		return errors.New("rollout client vote timeout must not be negative")
 	case c.OnStatus == nil || c.OnVoteResult == nil || c.OnConnected == nil || c.OnDisconnected == nil:
-		return errors.New("rollout client needs its callbacks")
+		return errors.New("rollout client needs the callbacks OnStatus, OnVoteResult, OnConnected and OnDisconnected")
 	}
 	return nil
 }
