--- a/cmd/gateway/stall_test.go
+++ b/cmd/gateway/stall_test.go
@@ -98,7 +98,7 @@
 }
 
 // closeIdleConnections is called on the router's goroutine. When the router removes the endpoint that askDuringStall
-// lists, it waits for the request and makes the router stall after its next clock reading.
+// lists as removed, closeIdleConnections waits for the request and makes the router stall after its next clock reading.
 func (fixture *stallFixture) closeIdleConnections(address string) {
 	if address == unlistedAddress {
 		<-fixture.requestQueued
