--- a/cmd/gateway/start_test.go
+++ b/cmd/gateway/start_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// An unknown log level is an error that names the environment variable.
+// Known log levels are parsed, and an unknown one is an error that names the environment variable.
 func TestLogLevel(t *testing.T) {
 	for text, want := range map[string]slog.Level{"": slog.LevelInfo, "debug": slog.LevelDebug, "error": slog.LevelError} {
 		if level, err := logLevel(text); err != nil || level != want {
--- a/internal/simulatoradapter/events.go
+++ b/internal/simulatoradapter/events.go
@@ -9,7 +9,7 @@
 	"laurelring/internal/protocol"
 )
 
-// event is an event for one gateway.
+// event is a decoded record of the simulator that applies to one gateway.
 type event interface {
 	apply(g *gateway, now monotonic.Time) error
 }
