--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -25,7 +25,7 @@
 
 	started        bool           // Tick has been called
 	catchUpUntil   monotonic.Time // after a stall of the process, no attempt starts before this time
-	stallBeganAt   monotonic.Time // start of the latest stall that was longer than harmlessStall
+	stallBeganAt   monotonic.Time // start of the latest stall that was longer than maxHarmlessStall
 	stallNoticedAt monotonic.Time // when that stall was noticed
 
 	opTypes        []*OpType
--- a/internal/routing/datagrams_test.go
+++ b/internal/routing/datagrams_test.go
@@ -15,10 +15,10 @@
 	"laurelring/internal/protocol"
 )
 
-// Guards against a panic: two evidence reports on build 0 ended a gateway with no build under judgement, and all its
-// requests were lost. Build 0 means that no build is under judgement, so the reports were taken for reports on the
-// build under judgement. The second counted fewer finished attempts than the first, which means that its sender
-// restarted, and the totals of the first were added to a table that exists only while a build is under judgement:
+// Guards against a panic: two evidence reports on build 0 ended a gateway with no build under evaluation, and all its
+// requests were lost. Build 0 means that no build is under evaluation, so the reports were taken for reports on the
+// build under evaluation. The second counted fewer finished attempts than the first, which means that its sender
+// restarted, and the totals of the first were added to a table that exists only while a build is under evaluation:
 //
 //	panic: runtime error: index out of range [0] with length 0
 //	rollout.Table.Add, decision.(*Balancer).reconcileTotals, (*Balancer).EvidenceReceived
--- a/internal/routing/tunedvalues_test.go
+++ b/internal/routing/tunedvalues_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Replays of the recorded sessions and histories not detect a 10 % change of these values. This test pins them, so
-// that each change effect deliberate: measure its effect first, then update the value here as well.
+// Replays of the recorded sessions and histories do not detect a 10 % change of these values. This test pins them, so
+// that each change is deliberate: measure its effect first, then update the value here as well.
 func TestTunedValuesNotCoveredByRecordings(t *testing.T) {
 	for name, value := range map[string]struct{ got, want float64 }{
 		"removedEndpointTTL":   {float64(removedEndpointTTL), 60e9},
