--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,7 +19,7 @@
 	// ErrInUse is returned by Open if another process holds the lock of the store.
 	ErrInUse = errors.New("another process holds the store")
 	// ErrRollback is returned by Put if the version of a record is lower than the stored version.
-	ErrRollback = errors.New("the version would go back")
+	ErrRollback = errors.New("version is lower than the stored version")
 	// ErrMemoryFull is returned by CreateTarget if a target does not fit into the memory that is left for targets.
 	ErrMemoryFull = errors.New("no room in memory for the target")
 
